--- a/coordination/assign/assign_test.go
+++ b/coordination/assign/assign_test.go
@@ -19,7 +19,7 @@
 
 const start = clock.Instant(time.Hour)
 
-var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, LeastGain: 0.1}}
+var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, MinGain: 0.1}}
 
 func target(id string) view.Target {
 	return view.Target{ID: id, Service: "s", Address: "address-" + id, Slots: 6}
@@ -43,7 +43,7 @@
 	now = now.Add(25 * time.Millisecond)
 	m.SetTargets(now, targets)
 	for _, o := range m.Tick(now, false) {
-		m.Finished(now, o, Done, "h")
+		m.RecordOutcome(now, o, Done, "h")
 	}
 	if p := m.Propose(now); p != nil {
 		m.Stored(p)
@@ -111,7 +111,7 @@
 		m.Stored(m.Propose(now))
 		for _, o := range m.Tick(now, false) {
 			if o.Kind == Release {
-				m.Finished(now, o, Done, "h")
+				m.RecordOutcome(now, o, Done, "h")
 			}
 		}
 		m.SetTargets(now, []view.Target{draining(target("a")), draining(target("b")), target("c")})
@@ -147,13 +147,13 @@
 					if o.Kind == Renew {
 						held = held.Later(now.Add(o.Hold + o.Hold/50))
 					}
-					m.Finished(now, o, Unknown, "")
+					m.RecordOutcome(now, o, Unknown, "")
 					continue
 				}
 				if o.Kind == Grant && granted == clock.Never {
 					granted = now
 				}
-				m.Finished(now, o, Done, "")
+				m.RecordOutcome(now, o, Done, "")
 			}
 			if p := m.Propose(now); p != nil {
 				m.Stored(p)
@@ -195,7 +195,7 @@
 				if o.Target == former.ID {
 					outcome = OtherTarget
 				}
-				m.Finished(now, o, outcome, "h")
+				m.RecordOutcome(now, o, outcome, "h")
 			}
 			if p := m.Propose(now); p != nil {
 				m.Stored(p)
@@ -235,7 +235,7 @@
 				if o.Kind == Grant && granted == clock.Never {
 					granted = now
 				}
-				next.Finished(now, o, Done, "")
+				next.RecordOutcome(now, o, Done, "")
 			}
 			if p := next.Propose(now); p != nil {
 				next.Stored(p)
@@ -254,7 +254,7 @@
 			if o.From == 0 {
 				outcome = HigherFence
 			}
-			m.Finished(now.Add(renewLatest), o, outcome, "")
+			m.RecordOutcome(now.Add(renewLatest), o, outcome, "")
 		}
 		settle(m, now.Add(renewLatest), targets)
 		Expect(m.Map().Find(0).Fence).To(BeNumerically(">", before))
--- a/coordination/assign/cold_test.go
+++ b/coordination/assign/cold_test.go
@@ -22,7 +22,7 @@
 var _ = ginkgo.Describe("keys and cold targets", func() {
 	ginkgo.It("go to them as far as they bear it, and further when they are warm (guards against a returned data centre that breaks down)", func() {
 		m := NewManager(config, nil, start)
-		m.SetCold(2, 500*time.Millisecond)
+		m.SetColdRate(2, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
 		a, b := target("a"), target("b")
 		now := settle(m, start, []view.Target{a})
@@ -38,7 +38,7 @@
 
 	ginkgo.It("leave one that names a limit but for what it takes, and come back when it names none", func() {
 		m := NewManager(config, nil, start)
-		m.SetCold(0, 500*time.Millisecond)
+		m.SetColdRate(0, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
 		list := []view.Target{target("a"), target("b")}
 		now := settle(m, start, list)
--- a/coordination/assign/lives_test.go
+++ b/coordination/assign/lives_test.go
@@ -13,7 +13,7 @@
 
 // life returns a target by its name and start.
 func life(name string, born int64) view.Target {
-	t := target(view.LifeID(name, born))
+	t := target(view.TargetID(name, born))
 	t.Address = "address-" + name
 	return t
 }
@@ -48,7 +48,7 @@
 					released = true
 				}
 				Expect(o.Kind == Grant && !released).To(BeFalse(), "granted before the release: %+v", o)
-				m.Finished(now, o, Done, "h")
+				m.RecordOutcome(now, o, Done, "h")
 			}
 		}
 		Expect(released).To(BeTrue())
@@ -82,7 +82,7 @@
 				if o.Target == "a" {
 					outcome = Unverified
 				}
-				m.Finished(now, o, outcome, "")
+				m.RecordOutcome(now, o, outcome, "")
 			}
 		}
 		Expect(m.Map().Version - before).To(BeNumerically("<=", 3))
@@ -108,7 +108,7 @@
 		m := NewManager(config, nil, start)
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
-		m.Finished(now, Order{Kind: Release, Target: "a"}, Unknown, "")
+		m.RecordOutcome(now, Order{Kind: Release, Target: "a"}, Unknown, "")
 		step25(m, now, targets[1:])
 		Expect(m.Map().Ranges).To(ContainElement(And(HaveField("Owner", "a"), HaveField("Lost", true))))
 	})
@@ -125,6 +125,6 @@
 		Expect(m.holder("x").heldUntil).To(Equal(start.Add(4 * time.Second)))
 		Expect(m.HeldUntil(start)).To(Equal(start.Add(4 * time.Second)))
 		silent := NewManager(config, keyrange.Empty(), start)
-		Expect(silent.HeldUntil(start)).To(Equal(start.Add(LongestHeld(config.HoldMax))))
+		Expect(silent.HeldUntil(start)).To(Equal(start.Add(GrantLifetime(config.HoldMax))))
 	})
 })
--- a/coordination/assign/lose_test.go
+++ b/coordination/assign/lose_test.go
@@ -36,7 +36,7 @@
 					if o.Target == "a" {
 						outcome = NotSent
 					}
-					m.Finished(now, o, outcome, "h")
+					m.RecordOutcome(now, o, outcome, "h")
 				}
 				if p := m.Propose(now); p != nil {
 					m.Stored(p)
--- a/coordination/assign/manager.go
+++ b/coordination/assign/manager.go
@@ -142,13 +142,13 @@
 			h.firstListed = now
 		}
 		newest[t.Address] = h.firstListed.Later(newest[t.Address])
-		byName[view.NameOf(t.ID)] = t
+		byName[view.TargetName(t.ID)] = t
 	}
 	if len(list) > 0 && m.firstTarget == clock.Never {
 		m.firstTarget = now
 	}
 	for id, h := range m.holders {
-		if next, ok := byName[view.NameOf(id)]; ok && !h.listed {
+		if next, ok := byName[view.TargetName(id)]; ok && !h.listed {
 			h.succeeded(id, next)
 			continue
 		}
@@ -187,9 +187,9 @@
 	}
 }
 
-// SetCold takes how many requests a second a cold target bears, 0: no bound is known, and the mean work
+// SetColdRate takes how many requests a second a cold target bears, 0: no bound is known, and the mean work
 // of a request at a target of average speed.
-func (m *Manager) SetCold(rate float64, work time.Duration) {
+func (m *Manager) SetColdRate(rate float64, work time.Duration) {
 	m.coldRate = rate
 	m.requestWork = work.Seconds()
 }
@@ -202,8 +202,8 @@
 	}
 }
 
-// Finished notes the outcome of an order.
-func (m *Manager) Finished(now clock.Instant, o Order, outcome Outcome, handover string) {
+// RecordOutcome notes the outcome of an order.
+func (m *Manager) RecordOutcome(now clock.Instant, o Order, outcome Outcome, handover string) {
 	h := m.holder(o.Target)
 	m.noteHold(now, h, o, outcome)
 	m.noteHealth(now, h, outcome)
@@ -322,7 +322,7 @@
 func (m *Manager) order(now clock.Instant, kind Kind, r keyrange.Range, h *holder, fence uint64, hold time.Duration, handover string) Order {
 	return Order{
 		Kind: kind, Service: m.config.Service, Target: cmp.Or(h.target.ID, r.Owner), Address: h.target.Address,
-		From: r.From, To: r.To, Fence: fence, Hold: hold, Handover: handover, SentAt: now, Since: clock.Never,
+		From: r.From, To: r.To, Fence: fence, Hold: hold, Handover: handover, SentAt: now, ConnectedSince: clock.Never,
 	}
 }
 
--- a/coordination/assign/renew.go
+++ b/coordination/assign/renew.go
@@ -12,8 +12,8 @@
 	return hold + time.Duration(float64(hold)*clockTolerance) + holdSlack
 }
 
-// LongestHeld is how long after it was sent a grant with the longest hold has surely run out.
-func LongestHeld(holdMax time.Duration) time.Duration { return holdEnd(holdMax) }
+// GrantLifetime is how long after it was sent a grant with the longest hold has surely run out.
+func GrantLifetime(holdMax time.Duration) time.Duration { return holdEnd(holdMax) }
 
 // formerHeld is when what former leading instances granted has surely run out.
 func (m *Manager) formerHeld() clock.Instant {
@@ -90,7 +90,7 @@
 	state.at = now
 	h.granting++
 	o := m.order(now, Renew, r, h, r.Fence, hold, "")
-	o.Since = state.heldAt
+	o.ConnectedSince = state.heldAt
 	return append(orders, o)
 }
 
@@ -116,7 +116,7 @@
 	case Unverified:
 		h.unverified = true
 	case Unknown:
-		r.over = o.Since == clock.Never
+		r.over = o.ConnectedSince == clock.Never
 	}
 }
 
--- a/coordination/assign/schedules_test.go
+++ b/coordination/assign/schedules_test.go
@@ -121,7 +121,7 @@
 
 // start starts a process under a name, which may have been another's.
 func (w *world) start(name, address string, forgetful bool) view.Target {
-	id := view.LifeID(name, int64(w.now))
+	id := view.TargetID(name, int64(w.now))
 	w.targets[id] = &fakeTarget{id: id, up: true, born: w.now, rate: 1 + 0.02*w.random.Float64(), held: map[uint16]hold{}, forgetful: forgetful}
 	w.called[name] = w.targets[id]
 	t := target(id)
@@ -157,7 +157,7 @@
 	case 5, 6:
 		// A crash, and a new start under the same name, which the registry shows a while later.
 		w.targets[id].up = false
-		next := w.start(view.NameOf(id), t.Address, w.targets[id].forgetful)
+		next := w.start(view.TargetName(id), t.Address, w.targets[id].forgetful)
 		w.later(1200*time.Millisecond, func() {
 			if _, listed := w.listed[id]; listed {
 				delete(w.listed, id)
@@ -174,7 +174,7 @@
 		// Cut from the registry, but alive and renewed.
 		delete(w.listed, id)
 		w.later(4*time.Second, func() {
-			if w.called[view.NameOf(id)].id == id {
+			if w.called[view.TargetName(id)].id == id {
 				w.listed[id] = t
 			}
 		})
@@ -187,8 +187,8 @@
 		w.birth(fmt.Sprintf("address-%d", w.born+10), w.targets[id].forgetful)
 	case 3:
 		// Another instance leads. The former one goes on sending for a moment.
-		w.former, w.formerTo = w.leader, w.now.Add(lease.Margin)
-		w.stored = w.stored.Raised(0)
+		w.former, w.formerTo = w.leader, w.now.Add(lease.SafetyMargin)
+		w.stored = w.stored.WithRaisedFences(0)
 		w.leader = NewManager(config, w.stored, w.now)
 	case 4:
 		load := &keyrange.Load{}
@@ -206,7 +206,7 @@
 // deliverLate has a stopped target read an order when it goes on; nobody answers it before.
 func (w *world) deliverLate(m *Manager, f *fakeTarget, o Order) {
 	came := w.now
-	w.later(700*time.Millisecond, func() { m.Finished(w.now, o, Unknown, "") })
+	w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
 	w.events = append(w.events, event{f.stoppedUntil, func() {
 		if !f.up {
 			return
@@ -220,26 +220,26 @@
 
 // send lets an order reach its target, be lost, have its answer lost, or come late.
 func (w *world) send(m *Manager, o Order) {
-	f := w.called[view.NameOf(o.Target)]
+	f := w.called[view.TargetName(o.Target)]
 	if f != nil && f.up && w.now < f.stoppedUntil {
 		w.deliverLate(m, f, o)
 		return
 	}
 	switch chance := w.random.IntN(100); {
-	case o.Since != clock.Never && (f == nil || f.born > o.Since || chance < 2):
+	case o.ConnectedSince != clock.Never && (f == nil || f.born > o.ConnectedSince || chance < 2):
 		// Connections end with the process, and at times without.
-		w.later(30*time.Millisecond, func() { m.Finished(w.now, o, Unverified, "") })
+		w.later(30*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unverified, "") })
 	case f == nil || !f.up:
-		w.later(300*time.Millisecond, func() { m.Finished(w.now, o, NotSent, "") })
+		w.later(300*time.Millisecond, func() { m.RecordOutcome(w.now, o, NotSent, "") })
 	case chance < 4:
-		w.later(700*time.Millisecond, func() { m.Finished(w.now, o, NotSent, "") })
+		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, NotSent, "") })
 	case chance < 8:
 		w.apply(f, o)
-		w.later(700*time.Millisecond, func() { m.Finished(w.now, o, Unknown, "") })
+		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
 	case chance < 11 && o.Kind != Release:
 		// Carried out late; its time counts from when it came.
 		came := w.now
-		w.later(700*time.Millisecond, func() { m.Finished(w.now, o, Unknown, "") })
+		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
 		w.later(9*time.Second, func() {
 			late := o
 			late.Hold = o.Hold - w.now.Sub(came)
@@ -253,11 +253,11 @@
 			switch {
 			case f.up:
 				outcome = w.apply(f, o)
-			case w.called[view.NameOf(o.Target)] != f:
+			case w.called[view.TargetName(o.Target)] != f:
 				// The connection broke; the process that has the name now does not refuse it.
 				outcome = Unknown
 			}
-			w.later(30*time.Millisecond, func() { m.Finished(w.now, o, outcome, "h") })
+			w.later(30*time.Millisecond, func() { m.RecordOutcome(w.now, o, outcome, "h") })
 		})
 	}
 }
--- a/coordination/assign/types.go
+++ b/coordination/assign/types.go
@@ -78,10 +78,10 @@
 	Handover string
 	// SentAt is when it was sent, over a connection that was open by then.
 	SentAt clock.Instant
-	// Since asks for a connection that was open then already: the target had the keys at that
+	// ConnectedSince asks for a connection that was open then already: the target had the keys at that
 	// time, and whoever answers over such a connection is the same process. clock.Never: any
 	// connection will do.
-	Since clock.Instant
+	ConnectedSince clock.Instant
 }
 
 // Outcome is what is known about the effect of an order.
--- a/coordination/keyrange/keyrange_test.go
+++ b/coordination/keyrange/keyrange_test.go
@@ -56,7 +56,7 @@
 	return most
 }
 
-var policy = Policy{Imbalance: 1.2, LeastGain: 0.05, MaxMoves: 3}
+var policy = Policy{Imbalance: 1.2, MinGain: 0.05, MaxMoves: 3}
 
 // TestEditor checks the invariants of maps over random changes.
 func TestEditor(t *testing.T) {
@@ -369,7 +369,7 @@
 	It("stays where it is among targets that are about as fast", func() {
 		load := &Load{}
 		load[1000] = 20
-		Expect(Plan(even(4), load, []Capacity{{"t00", 6}, {"t01", 7}, {"t02", 6.5}, {"t03", 5}}, Policy{Imbalance: 1.2, LeastGain: 0.12, MaxMoves: 4})).
+		Expect(Plan(even(4), load, []Capacity{{"t00", 6}, {"t01", 7}, {"t02", 6.5}, {"t03", 5}}, Policy{Imbalance: 1.2, MinGain: 0.12, MaxMoves: 4})).
 			NotTo(ContainElement(HaveField("From", BeNumerically("<=", 1000))))
 	})
 })
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -114,12 +114,12 @@
 	}
 }
 
-// Raised returns the map with every fence raised. Whoever begins to lead puts it into force
+// WithRaisedFences returns the map with every fence raised. Whoever begins to lead puts it into force
 // along with its lease: it cannot know which targets have been started again under their names
 // since they were granted their keys, and no process may have keys under a fence under which
 // another one had them. Orders of the former leading instance that come late meet a higher fence.
 // The new version, and with it all fences, is above least.
-func (m *Map) Raised(least uint64) *Map {
+func (m *Map) WithRaisedFences(least uint64) *Map {
 	next := &Map{Version: max(m.Version, least) + 1, Ranges: slices.Clone(m.Ranges)}
 	for i := range next.Ranges {
 		r := &next.Ranges[i]
--- a/coordination/keyrange/plan.go
+++ b/coordination/keyrange/plan.go
@@ -23,10 +23,10 @@
 	// Imbalance is the ratio of a target's utilisation to the mean from which on it gives
 	// keys away.
 	Imbalance float64
-	// LeastGain is the least difference in utilisation between the giving and the taking
+	// MinGain is the least difference in utilisation between the giving and the taking
 	// target. A move stops the keys for as long as their running requests take, so small
 	// differences, which noise makes, are not worth one.
-	LeastGain float64
+	MinGain float64
 	// MaxMoves bounds the moves of one plan.
 	MaxMoves int
 }
@@ -187,7 +187,7 @@
 		}
 		gain := hottest.utilisation() - coldest.utilisation()
 		empty := coldest.work == 0
-		if !empty && (hottest.utilisation() < mean*p.policy.Imbalance || gain < p.policy.LeastGain) {
+		if !empty && (hottest.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinGain) {
 			return Move{}, false
 		}
 		if cut, ok := p.cut(hottest, coldest); ok {
--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -120,7 +120,7 @@
 		t.holder.Renewed(begun)
 		t.mu.Unlock()
 		t.c.mu.Lock()
-		t.c.observer.Saw(version, false, t.c.clock.Now())
+		t.c.observer.Observe(version, false, t.c.clock.Now())
 		t.c.mu.Unlock()
 		for service, m := range proposed {
 			t.stored.mapVersions[service] = version
--- a/coordination/lead/evacuation_test.go
+++ b/coordination/lead/evacuation_test.go
@@ -63,16 +63,16 @@
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
 		tell(leader, follower)
-		Expect(follower.board.Load().Evacuations.Covers("dc1")).To(BeTrue())
+		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeTrue())
 		leader.board.SetEvacuations(4, nil)
 		tell(leader, follower)
-		Expect(follower.board.Load().Evacuations.Covers("dc1")).To(BeFalse())
+		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeFalse())
 		leader.board.SetEvacuations(5, []string{"dc2"})
 		starting := newCoordinator()
 		args := starting.question()
 		args.Starting = true
 		starting.adopt(starting.clock.Now(), args, leader.news(args))
-		Expect(starting.board.Load().Evacuations.Covers("dc2")).To(BeTrue())
+		Expect(starting.board.Load().Evacuations.Contains("dc2")).To(BeTrue())
 	})
 
 	It("is news to one that has not heard of it (guards against a report that is held while targets are sent to)", func() {
@@ -87,7 +87,7 @@
 		now := clock.Instant(time.Hour)
 		first := chill(view.Target{}, view.Target{ID: "x", Cold: 3 * time.Second}, 5, now)
 		later := chill(first, view.Target{ID: "x", Cold: 2200 * time.Millisecond}, 6, now.Add(900*time.Millisecond))
-		Expect(later.Same(first)).To(BeTrue())
+		Expect(later.EqualForRouting(first)).To(BeTrue())
 		Expect(later.ColdUntil).To(Equal(first.ColdUntil))
 		again := chill(later, view.Target{ID: "x", Cold: 3 * time.Second}, 7, now.Add(2*time.Second))
 		Expect(again.ColdSpell).To(Equal(uint64(7)))
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -207,7 +207,7 @@
 func (c *Coordinator) adopt(begun clock.Instant, args *peerapi.SyncArgs, reply *peerapi.SyncReply) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
-	c.observer.Saw(reply.Lease, false, now)
+	c.observer.Observe(reply.Lease, false, now)
 	c.mu.Unlock()
 	// What was confirmed had been read Age before the answer left. The way back may have
 	// taken all of the time that was not spent waiting.
@@ -260,7 +260,7 @@
 	for _, id := range reply.TargetsGone {
 		delete(list, id)
 	}
-	return c.board.AdoptTargets(reply.TargetsRead, list, reply.TargetsKept, at)
+	return c.board.SetLeaderTargets(reply.TargetsRead, list, reply.TargetsKept, at)
 }
 
 // adoptInstances takes over the list of instances, where the answer has a newer one.
--- a/coordination/lead/lead_test.go
+++ b/coordination/lead/lead_test.go
@@ -97,7 +97,7 @@
 		reply := tell(leader, follower)
 		Expect(reply.Targets).To(BeEmpty())
 		Expect(reply.Maps).To(BeEmpty())
-		Expect(follower.board.KnownAt()).To(BeNumerically("<=", clock.System{}.Now()))
+		Expect(follower.board.CurrentAsOf()).To(BeNumerically("<=", clock.System{}.Now()))
 	})
 
 	// Symptom: a leading instance of 300 sends 13 MB a second.
@@ -123,7 +123,7 @@
 		read(1, "x", "y")
 		tell(leader, follower)
 		now := clock.System{}.Now()
-		follower.board.AdoptTargets(5, targets("y"), view.Kept{}, now)
+		follower.board.SetLeaderTargets(5, targets("y"), view.Retained{}, now)
 		leader.board.SetTargets(9, targets("y"), now.Add(10*time.Second))
 		Expect(leader.board.Load().Targets).To(HaveKey("x"))
 		tell(leader, follower)
--- a/coordination/lead/poll.go
+++ b/coordination/lead/poll.go
@@ -16,7 +16,7 @@
 func (c *Coordinator) reads(ctx context.Context) bool {
 	relay := c.isRelay()
 	now := c.clock.Now()
-	age := now.Sub(c.board.KnownAt())
+	age := now.Sub(c.board.CurrentAsOf())
 	c.mu.Lock()
 	must := c.term != nil || relay && c.lastSync == clock.Never
 	c.mu.Unlock()
@@ -55,7 +55,7 @@
 // relaysHelp reports whether relays keep what this instance knows new enough, and asks them when it is
 // time to.
 func (c *Coordinator) relaysHelp(ctx context.Context) bool {
-	if c.board.KnownAt() == clock.Never {
+	if c.board.CurrentAsOf() == clock.Never {
 		return false
 	}
 	if c.mayRefresh() {
@@ -87,7 +87,7 @@
 		c.mu.Lock()
 		c.relaysAnsweredAt = c.clock.Now()
 		c.mu.Unlock()
-		if c.clock.Now().Sub(c.board.KnownAt()) <= staleAfter {
+		if c.clock.Now().Sub(c.board.CurrentAsOf()) <= staleAfter {
 			return true
 		}
 	}
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -78,9 +78,9 @@
 // and decode again what it has just been told, when it has least time for it.
 func (r *reader) readRules(ctx context.Context, wait time.Duration) (changed bool, err error) {
 	begun := r.clock.Now()
-	after := r.board.RulesRead()
+	after := r.board.RulesReadVersion()
 	from := after
-	returned := r.returnedAt != clock.Never && begun.Sub(r.returnedAt) >= view.ReturnedFor
+	returned := r.returnedAt != clock.Never && begun.Sub(r.returnedAt) >= view.RestoreGrace
 	if returned {
 		// What was believed beside the store's word is no more.
 		from = 0
--- a/coordination/lead/reader_test.go
+++ b/coordination/lead/reader_test.go
@@ -65,7 +65,7 @@
 	if !ok || err != nil {
 		return view.Target{}, errors.New("no target")
 	}
-	return view.Target{ID: view.LifeID(row.Key, born), Born: born, Service: "s", Address: address, Slots: 2}, nil
+	return view.Target{ID: view.TargetID(row.Key, born), Born: born, Service: "s", Address: address, Slots: 2}, nil
 }
 
 var _ = Describe("reading the registry", func() {
--- a/coordination/lead/relay.go
+++ b/coordination/lead/relay.go
@@ -120,7 +120,7 @@
 // the question until it has heard something.
 func (c *Coordinator) askRelay(ctx context.Context, await bool) bool {
 	relays := c.relays()
-	if len(relays) == 0 || slices.Contains(relays, c.config.Self.Address) || c.board.KnownAt() == clock.Never {
+	if len(relays) == 0 || slices.Contains(relays, c.config.Self.Address) || c.board.CurrentAsOf() == clock.Never {
 		// One that has just started reads for itself: after a loss of power the seeds may be
 		// the last to be back, and callers would wait for them.
 		return false
@@ -182,7 +182,7 @@
 // the store is back, though all others know enough.
 func (c *Coordinator) askAnybody(ctx context.Context) {
 	for _, address := range c.config.Seeds {
-		if c.board.KnownAt() != clock.Never {
+		if c.board.CurrentAsOf() != clock.Never {
 			return
 		}
 		if address == c.config.Self.Address || !c.mayAnswer(address) {
@@ -230,7 +230,7 @@
 
 // whatIsKnown tells what this instance knows, with its age.
 func (c *Coordinator) whatIsKnown(args *peerapi.SyncArgs) *peerapi.SyncReply {
-	if c.board.KnownAt() == clock.Never {
+	if c.board.CurrentAsOf() == clock.Never {
 		return &peerapi.SyncReply{}
 	}
 	reply := c.news(args)
@@ -244,7 +244,7 @@
 // current reports whether this instance may speak as a relay to the sender of a question.
 func (c *Coordinator) current(args *peerapi.SyncArgs) bool {
 	now := c.clock.Now()
-	if c.board.KnownAt() == clock.Never {
+	if c.board.CurrentAsOf() == clock.Never {
 		return false
 	}
 	c.mu.Lock()
--- a/coordination/lead/relay_test.go
+++ b/coordination/lead/relay_test.go
@@ -117,7 +117,7 @@
 	// leader, or a relay that had read the lease a moment ago, told it anything.
 	It("learns from any other what that knows, with its age", func() {
 		_, all, s := fleet(3)
-		known := all["a00"].board.KnownAt()
+		known := all["a00"].board.CurrentAsOf()
 		starts := New(Config{Self: view.Instance{ID: "new", Address: "a09"}, Seeds: []string{"a09", "nobody", "a01"}}, clock.System{}, s, view.NewBoard(clock.System{}), all, nil, demand.NewCollector(), quiet)
 		set, err := rules.Parse("rules", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -126,7 +126,7 @@
 		Expect(starts.board.Load().Targets).To(HaveLen(2))
 		Expect(starts.board.Load().RulesVersion).To(Equal(uint64(3)))
 		Expect(starts.board.Load().Instances).To(HaveLen(3))
-		Expect(starts.board.KnownAt()).To(BeNumerically("~", known, time.Second))
+		Expect(starts.board.CurrentAsOf()).To(BeNumerically("~", known, time.Second))
 		Expect(starts.Leader()).To(Equal(lease.Row{}))
 	})
 })
--- a/coordination/lead/returned.go
+++ b/coordination/lead/returned.go
@@ -106,14 +106,14 @@
 // this instance has read.
 func (t *term) storeReturned() bool {
 	board := t.c.board
-	return store.EraOf(max(board.TargetsRead(), board.RulesRead())) > t.stored.era
+	return store.EraOf(max(board.TargetsReadVersion(), board.RulesReadVersion())) > t.stored.era
 }
 
 // knowsOwners reports whether this instance may lead without a former leading one that knows the last maps:
 // it has been told of owners by one that led, or everything that was granted has run out. The caller holds
 // the lock.
 func (c *Coordinator) knowsOwners(now clock.Instant) bool {
-	return c.heardLeader || c.observer.Unchanged(now) >= assign.LongestHeld(c.config.HoldMax)
+	return c.heardLeader || c.observer.UnchangedFor(now) >= assign.GrantLifetime(c.config.HoldMax)
 }
 
 // takeUp puts the newest maps that this instance knows in the place of those that came back with the store.
--- a/coordination/lead/returned_test.go
+++ b/coordination/lead/returned_test.go
@@ -64,7 +64,7 @@
 		s = &memoryStore{}
 		config := Config{Self: view.Instance{ID: "i1.2", Address: "a1", Weight: 1}, HoldMax: 10 * time.Second}
 		c = New(config, now, s, view.NewBoard(now), nil, noOrders{}, demand.NewCollector(), quiet)
-		c.observer.Saw(store.VersionOf(1, 9), false, now.now)
+		c.observer.Observe(store.VersionOf(1, 9), false, now.now)
 		c.heardLeader = true
 	})
 
@@ -116,7 +116,7 @@
 		c.heardLeader = false
 		comeBack(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}, mapOf("x", 3))
 		Expect(look()).To(BeNil())
-		now.now = now.now.Add(assign.LongestHeld(10*time.Second) - time.Millisecond)
+		now.now = now.now.Add(assign.GrantLifetime(10*time.Second) - time.Millisecond)
 		Expect(look()).To(BeNil())
 		now.now = now.now.Add(2 * time.Millisecond)
 		Expect(look()).NotTo(BeNil())
@@ -162,7 +162,7 @@
 		rows.put("evacuate/dc1", "{}")
 		rows.put("evacuate/dc3", "{}")
 		Expect(read()).To(Equal("dc1 dc2 dc3"))
-		now.now = now.now.Add(view.ReturnedFor)
+		now.now = now.now.Add(view.RestoreGrace)
 		rows.put("other", "")
 		Expect(read()).To(Equal("dc1 dc3"))
 	})
--- a/coordination/lead/rules_test.go
+++ b/coordination/lead/rules_test.go
@@ -183,7 +183,7 @@
 		age := func() time.Duration {
 			now := c.clock.Now()
 			c.board.ConfirmTargets(now)
-			return now.Sub(c.board.KnownAt())
+			return now.Sub(c.board.CurrentAsOf())
 		}
 		Eventually(age, "2s", "1ms").Should(BeNumerically("<", time.Second))
 		for change := range 4 {
--- a/coordination/lead/serve.go
+++ b/coordination/lead/serve.go
@@ -106,7 +106,7 @@
 // be told as done to one that does not get what it found, and who would not look for it.
 func (c *Coordinator) news(args *peerapi.SyncArgs) *peerapi.SyncReply {
 	reply := &peerapi.SyncReply{
-		RulesRead: c.board.RulesRead(), TargetsRead: c.board.TargetsRead(), TargetsKept: c.board.Kept(), Age: c.clock.Now().Sub(c.board.KnownAt()),
+		RulesRead: c.board.RulesReadVersion(), TargetsRead: c.board.TargetsReadVersion(), TargetsKept: c.board.Retained(), Age: c.clock.Now().Sub(c.board.CurrentAsOf()),
 	}
 	reply.Quarantine, reply.QuarantineVersion = c.quarantine.News(args.QuarantineVersion)
 	s := c.board.Load()
--- a/coordination/lead/start.go
+++ b/coordination/lead/start.go
@@ -37,7 +37,7 @@
 		return
 	default:
 	}
-	for c.leavesToSeeds() && c.board.KnownAt() == clock.Never && ctx.Err() == nil {
+	for c.leavesToSeeds() && c.board.CurrentAsOf() == clock.Never && ctx.Err() == nil {
 		c.learn(ctx, c.config.Seeds[xxhash.Sum64String(c.config.Self.ID)%uint64(len(c.config.Seeds))])
 	}
 	close(c.mayRead)
@@ -102,7 +102,7 @@
 		c.mu.Lock()
 		leader, found := c.leader, c.leaderKnown
 		c.mu.Unlock()
-		if leader.Address != "" && c.board.KnownAt() != clock.Never {
+		if leader.Address != "" && c.board.CurrentAsOf() != clock.Never {
 			return
 		}
 		select {
--- a/coordination/lead/stored.go
+++ b/coordination/lead/stored.go
@@ -83,8 +83,8 @@
 	}
 	now := c.clock.Now()
 	c.mu.Lock()
-	s.ledBefore = c.observer.Held()
-	c.observer.Saw(s.leaseVersion, s.current() && s.lease.Vacant, now)
+	s.ledBefore = c.observer.EverHeld()
+	c.observer.Observe(s.leaseVersion, s.current() && s.lease.Vacant, now)
 	c.looked(begun)
 	free := c.isFree(s, begun, now)
 	c.neverLed = s.lease.Term == 0
@@ -105,9 +105,9 @@
 // isFree reports whether the lease as it was just read is free for this instance. The caller holds the lock.
 func (c *Coordinator) isFree(s *stored, begun, now clock.Instant) bool {
 	if s.current() {
-		return c.observer.MayTake(begun) || c.succeeds(s.lease) || s.lease.Term != 0 && s.lease.Term == c.vacated.term
+		return c.observer.MayAcquire(begun) || c.succeeds(s.lease) || s.lease.Term != 0 && s.lease.Term == c.vacated.term
 	}
-	return c.former.leads(now) || c.observer.MayTake(begun) && c.knowsOwners(begun)
+	return c.former.leads(now) || c.observer.MayAcquire(begun) && c.knowsOwners(begun)
 }
 
 // looked notes that the lease's row was read at the given time. The caller holds the lock.
@@ -145,7 +145,7 @@
 	if s.lease.Vacant && c.outranked() {
 		sleep(ctx, outrankedBid)
 	}
-	if c.board.Keeping() {
+	if c.board.HasRetained() {
 		sleep(ctx, keepingBid)
 	}
 }
@@ -198,7 +198,7 @@
 func (s *stored) raise(txn *store.Txn) (map[string]*keyrange.Map, error) {
 	raised := map[string]*keyrange.Map{}
 	for service, m := range s.maps {
-		raised[service] = m.Raised(s.leastCount())
+		raised[service] = m.WithRaisedFences(s.leastCount())
 		text, err := raised[service].Encode()
 		if err != nil {
 			return nil, err
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -92,7 +92,7 @@
 	c.term = t
 	c.lost = ""
 	c.setLeader(s.lease)
-	c.observer.Saw(s.leaseVersion, false, now)
+	c.observer.Observe(s.leaseVersion, false, now)
 	c.mu.Unlock()
 	c.quarantine.Lead(s.lease.Term)
 	c.log("lease-taken", "term", s.lease.Term, "lease", s.leaseVersion)
@@ -119,7 +119,7 @@
 		}
 	}
 	t.mu.Lock()
-	t.holder.Drop()
+	t.holder.Release()
 	t.mu.Unlock()
 	t.c.quarantine.Follow()
 	t.c.log("lease-ended", "term", t.stored.lease.Term)
@@ -158,7 +158,7 @@
 
 // checkDark sees whether the store is lost, and has all grants renewed when it is.
 func (t *term) checkDark(now, until clock.Instant) {
-	since := now.Sub(until.Add(lease.Margin - lease.Duration))
+	since := now.Sub(until.Add(lease.SafetyMargin - lease.Duration))
 	dark := since > darkAfter || t.extend
 	if dark && !t.dark {
 		t.c.log("holds-extended", "since_ms", since.Milliseconds(), "hold_ms", t.c.config.HoldMax.Milliseconds())
@@ -189,7 +189,7 @@
 			t.managers[s.Name] = m
 		}
 		m.SetTargets(now, asPlaced(snapshot, snapshot.ByService[s.Name], leaving))
-		m.SetCold(s.ColdRate, t.c.collector.PerRequest(s.Name))
+		m.SetColdRate(s.ColdRate, t.c.collector.PerRequest(s.Name))
 	}
 }
 
@@ -199,7 +199,7 @@
 func asPlaced(s *view.Snapshot, list []view.Target, leaving []string) []view.Target {
 	list = slices.Clone(list)
 	for i, t := range list {
-		list[i].Draining = !s.Wanted(t) || slices.Contains(leaving, t.ID)
+		list[i].Draining = !s.AcceptsNewWork(t) || slices.Contains(leaving, t.ID)
 		list[i].ColdUntil = s.ColdUntil(t)
 	}
 	return list
@@ -252,7 +252,7 @@
 	if m == nil {
 		return
 	}
-	m.Finished(t.c.clock.Now(), o, outcome, handover)
+	m.RecordOutcome(t.c.clock.Now(), o, outcome, handover)
 	if o.Kind != assign.Renew || outcome != assign.Done {
 		t.c.log("order", "kind", string(o.Kind), "service", o.Service, "target", o.Target, "from", o.From, "to", o.To, "fence", o.Fence, "outcome", string(outcome))
 	}
--- a/coordination/lead/told.go
+++ b/coordination/lead/told.go
@@ -93,8 +93,8 @@
 	reply.TargetsFrom = since
 	reply.TargetsWhole = before == nil
 	for id, target := range s.Targets {
-		if old, known := before[id]; !known || !old.Same(target) {
-			reply.Targets = append(reply.Targets, target.Told(now))
+		if old, known := before[id]; !known || !old.EqualForRouting(target) {
+			reply.Targets = append(reply.Targets, target.ForSync(now))
 		}
 	}
 	for id := range before {
--- a/coordination/lead/tree_test.go
+++ b/coordination/lead/tree_test.go
@@ -314,7 +314,7 @@
 		Expect(byOthers).To(BeZero())
 		for _, c := range g.all {
 			if c != g.leader {
-				age := c.clock.Now().Sub(c.board.KnownAt())
+				age := c.clock.Now().Sub(c.board.CurrentAsOf())
 				Expect(age).To(BeNumerically("<", 1500*time.Millisecond), c.config.Self.ID)
 			}
 		}
@@ -357,7 +357,7 @@
 		time.Sleep(2500 * time.Millisecond)
 		for _, c := range g.all {
 			if c != g.leader && !c.isRelay() {
-				Expect(c.clock.Now().Sub(c.board.KnownAt())).To(BeNumerically("<", 1800*time.Millisecond), c.config.Self.ID)
+				Expect(c.clock.Now().Sub(c.board.CurrentAsOf())).To(BeNumerically("<", 1800*time.Millisecond), c.config.Self.ID)
 			}
 		}
 	})
--- a/coordination/lead/vacate.go
+++ b/coordination/lead/vacate.go
@@ -44,7 +44,7 @@
 func (t *term) suspects(now clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	confirmed := t.holder.Until().Add(lease.Margin - lease.Duration)
+	confirmed := t.holder.Until().Add(lease.SafetyMargin - lease.Duration)
 	return now.Sub(confirmed) > lease.RenewEvery+suspectAfter
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	t.mu.Lock()
-	t.holder.Drop()
+	t.holder.Release()
 	t.mu.Unlock()
 	t.ended = true
 	held := t.heldUntil(now)
@@ -87,7 +87,7 @@
 	for service := range t.stored.maps {
 		if t.managers[service] == nil {
 			// The rules are not known here yet; former leading instances may have granted its keys.
-			held = held.Later(now.Add(assign.LongestHeld(t.c.config.HoldMax)))
+			held = held.Later(now.Add(assign.GrantLifetime(t.c.config.HoldMax)))
 		}
 	}
 	return held
--- a/coordination/lead/whole.go
+++ b/coordination/lead/whole.go
@@ -62,7 +62,7 @@
 func encodeEverything(s *view.Snapshot, now clock.Instant) ([]byte, error) {
 	all := everything{Maps: map[string]mapTold{}, Instances: s.Instances}
 	for _, target := range s.Targets {
-		all.Targets = append(all.Targets, target.Told(now))
+		all.Targets = append(all.Targets, target.ForSync(now))
 	}
 	for service, m := range s.Maps {
 		all.Maps[service] = mapTold{m.Version, m.Ranges}
--- a/coordination/lead/whole_test.go
+++ b/coordination/lead/whole_test.go
@@ -21,7 +21,7 @@
 	list := map[string]view.Target{}
 	e := keyrange.Empty().Edit()
 	for i := range targetCount {
-		id := view.LifeID(fmt.Sprintf("i-%08x", uint32(i)*2654435761), int64(1776885668000+i*37))
+		id := view.TargetID(fmt.Sprintf("i-%08x", uint32(i)*2654435761), int64(1776885668000+i*37))
 		list[id] = view.Target{ID: id, Born: int64(1776885668000 + i*37), Service: "bookings", Address: fmt.Sprintf("10.%d.64.%d:8524", i%5, i/5), DataCentre: fmt.Sprint("dc", i%5), Slots: 6}
 		from := i * (keyrange.MaxKey + 1) / targetCount
 		to := (i+1)*(keyrange.MaxKey+1)/targetCount - 1
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -29,9 +29,9 @@
 	// ClockTolerance is the part by which the rates of two clocks may differ. Targets'
 	// clocks may run 2 % slow, so the machines' are taken to be no worse.
 	ClockTolerance = 0.02
-	// Margin is what a holder keeps back for the time between a look at its lease and the
+	// SafetyMargin is what a holder keeps back for the time between a look at its lease and the
 	// effect of what it then does.
-	Margin = 100 * time.Millisecond
+	SafetyMargin = 100 * time.Millisecond
 )
 
 // Row is the content of the lease's row.
@@ -77,15 +77,15 @@
 	h.held = true
 }
 
-// Drop gives the lease up.
-func (h *Holder) Drop() { h.held = false }
+// Release gives the lease up.
+func (h *Holder) Release() { h.held = false }
 
 // Until returns when the holder must have stopped acting.
 func (h *Holder) Until() clock.Instant {
 	if !h.held {
 		return clock.Never
 	}
-	return h.confirmed.Add(Duration - Margin)
+	return h.confirmed.Add(Duration - SafetyMargin)
 }
 
 // Valid reports whether the holder may act.
@@ -101,8 +101,8 @@
 	held bool
 }
 
-// Saw notes that the row had the version at the given time.
-func (o *Observer) Saw(version uint64, vacant bool, at clock.Instant) {
+// Observe notes that the row had the version at the given time.
+func (o *Observer) Observe(version uint64, vacant bool, at clock.Instant) {
 	if o.known && version <= o.version {
 		return
 	}
@@ -113,21 +113,21 @@
 	o.since = at
 }
 
-// Held reports whether the observer knows that somebody has held the lease.
-func (o *Observer) Held() bool { return o.held }
+// EverHeld reports whether the observer knows that somebody has held the lease.
+func (o *Observer) EverHeld() bool { return o.held }
 
 // Version returns the newest version known.
 func (o *Observer) Version() uint64 { return o.version }
 
-// MayTake reports whether the lease is surely free, given that the row was read just now
+// MayAcquire reports whether the lease is surely free, given that the row was read just now
 // with the newest version known.
-func (o *Observer) MayTake(now clock.Instant) bool {
+func (o *Observer) MayAcquire(now clock.Instant) bool {
 	if !o.known {
 		return false
 	}
 	wait := Duration + time.Duration(float64(Duration)*ClockTolerance)
-	return !o.held || o.vacant || o.Unchanged(now) >= wait
+	return !o.held || o.vacant || o.UnchangedFor(now) >= wait
 }
 
-// Unchanged returns for how long the row has had the newest version known, as far as the observer knows.
-func (o *Observer) Unchanged(now clock.Instant) time.Duration { return now.Sub(o.since) }
+// UnchangedFor returns for how long the row has had the newest version known, as far as the observer knows.
+func (o *Observer) UnchangedFor(now clock.Instant) time.Duration { return now.Sub(o.since) }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -26,46 +26,46 @@
 		var o Observer
 		begun, effect, answer := start, start.Add(300*time.Millisecond), start.Add(600*time.Millisecond)
 		h.Renewed(begun)
-		o.Saw(7, false, effect)
+		o.Observe(7, false, effect)
 		Expect(h.Valid(answer)).To(BeTrue())
 		for t := answer; t < start.Add(5*time.Second); t = t.Add(time.Millisecond) {
-			Expect(h.Valid(t) && o.MayTake(t)).To(BeFalse())
+			Expect(h.Valid(t) && o.MayAcquire(t)).To(BeFalse())
 		}
-		Expect(o.MayTake(start.Add(5 * time.Second))).To(BeTrue())
+		Expect(o.MayAcquire(start.Add(5 * time.Second))).To(BeTrue())
 	})
 
 	It("is not free for an observer whose clock runs fast within the tolerance", func() {
 		var h Holder
 		var o Observer
 		h.Renewed(start)
-		o.Saw(7, false, start)
+		o.Observe(7, false, start)
 		end := h.Until().Sub(start)
 		fast := time.Duration(float64(end) * (1 + ClockTolerance))
-		Expect(o.MayTake(start.Add(fast))).To(BeFalse())
+		Expect(o.MayAcquire(start.Add(fast))).To(BeFalse())
 	})
 
 	It("starts anew with each version, and not with an old one", func() {
 		var o Observer
-		o.Saw(7, false, start)
-		o.Saw(8, false, start.Add(time.Second))
-		o.Saw(7, true, start.Add(1500*time.Millisecond))
-		Expect(o.MayTake(start.Add(Duration + 500*time.Millisecond))).To(BeFalse())
+		o.Observe(7, false, start)
+		o.Observe(8, false, start.Add(time.Second))
+		o.Observe(7, true, start.Add(1500*time.Millisecond))
+		Expect(o.MayAcquire(start.Add(Duration + 500*time.Millisecond))).To(BeFalse())
 	})
 
 	It("may be taken at once when it was given up or never held", func() {
 		var o Observer
-		Expect(o.MayTake(start)).To(BeFalse())
-		o.Saw(0, false, start)
-		Expect(o.MayTake(start)).To(BeTrue())
-		o.Saw(3, true, start)
-		Expect(o.MayTake(start)).To(BeTrue())
+		Expect(o.MayAcquire(start)).To(BeFalse())
+		o.Observe(0, false, start)
+		Expect(o.MayAcquire(start)).To(BeTrue())
+		o.Observe(3, true, start)
+		Expect(o.MayAcquire(start)).To(BeTrue())
 	})
 
 	It("holds nothing before the first renewal and after it was dropped", func() {
 		var h Holder
 		Expect(h.Valid(start)).To(BeFalse())
 		h.Renewed(start)
-		h.Drop()
+		h.Release()
 		Expect(h.Valid(start)).To(BeFalse())
 	})
 })
--- a/coordination/view/board.go
+++ b/coordination/view/board.go
@@ -79,7 +79,7 @@
 	targetsAt clock.Instant
 	rulesAt   clock.Instant
 	// kept are the targets that are believed though the last reading lacked them.
-	kept Kept
+	kept Retained
 	// steadySince is since when the registry has been read without interruption.
 	steadySince clock.Instant
 	// returnedAt is when the registry was first read after the store came back from a copy.
@@ -137,9 +137,9 @@
 	b.rulesAt = b.rulesAt.Later(at)
 }
 
-// RulesRead returns the version of the store as of which the configuration was last read, here
+// RulesReadVersion returns the version of the store as of which the configuration was last read, here
 // or by the instance that told it; 0: it is not known.
-func (b *Board) RulesRead() uint64 {
+func (b *Board) RulesReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rulesRead
@@ -162,14 +162,14 @@
 	return b.replaceTargets(b.believe(before, b.current.Load().Targets, list))
 }
 
-// AdoptTargets adopts what the leading instance believes, as of the version of the store that
+// SetLeaderTargets adopts what the leading instance believes, as of the version of the store that
 // it has read. Unlike a reading of the registry after an interruption it says which targets
 // are gone: whoever told it has read all the while, or keeps what may only have lapsed. It
 // reports whether the list was taken as a whole; one that is older than what was read here is not.
 //
 // What the teller only keeps is not taken where this instance has read, or been told, since it was listed
 // for the last time: it would have known of it.
-func (b *Board) AdoptTargets(version uint64, list map[string]Target, kept Kept, at clock.Instant) bool {
+func (b *Board) SetLeaderTargets(version uint64, list map[string]Target, kept Retained, at clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if version < b.targetsRead {
@@ -242,15 +242,15 @@
 	b.readAt(at)
 }
 
-// TargetsRead returns the version of the store as of which the registry was last read.
-func (b *Board) TargetsRead() uint64 {
+// TargetsReadVersion returns the version of the store as of which the registry was last read.
+func (b *Board) TargetsReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.targetsRead
 }
 
-// Kept are targets that are believed though the registry does not list them: their entries may have lapsed.
-type Kept struct {
+// Retained are targets that are believed though the registry does not list them: their entries may have lapsed.
+type Retained struct {
 	IDs []string
 	// AsOf is the version of the store as of which they were listed for the last time, as far as whoever
 	// keeps them knows.
@@ -261,11 +261,11 @@
 // is the version of the reading before it.
 func (b *Board) believe(before uint64, old, list map[string]Target) map[string]Target {
 	believed := b.sinceWhen(old, list)
-	if b.targetsAt.Sub(b.returnedAt) < ReturnedFor {
+	if b.targetsAt.Sub(b.returnedAt) < RestoreGrace {
 		keepDraining(believed, old)
 	}
 	settled := b.targetsAt.Sub(b.steadySince) >= goneAfter
-	kept := Kept{AsOf: before}
+	kept := Retained{AsOf: before}
 	if len(b.kept.IDs) > 0 {
 		kept.AsOf = b.kept.AsOf
 	}
@@ -280,16 +280,16 @@
 	return believed
 }
 
-// Kept returns the targets that are believed though the last reading of the registry did not list them,
+// Retained returns the targets that are believed though the last reading of the registry did not list them,
 // since they may have lapsed only.
-func (b *Board) Kept() Kept {
+func (b *Board) Retained() Retained {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.kept
 }
 
-// Keeping reports whether there are any.
-func (b *Board) Keeping() bool { return len(b.Kept().IDs) > 0 }
+// HasRetained reports whether there are any.
+func (b *Board) HasRetained() bool { return len(b.Retained().IDs) > 0 }
 
 // sinceWhen returns a copy of a list with the times since when targets have been draining, and
 // until when they are cold.
@@ -320,7 +320,7 @@
 // former one of the two.
 func replaced(old, list map[string]Target, t Target) bool {
 	for id, other := range list {
-		if NameOf(id) == NameOf(t.ID) {
+		if TargetName(id) == TargetName(t.ID) {
 			return true
 		}
 		if _, known := old[id]; !known && other.Address == t.Address {
@@ -330,7 +330,7 @@
 	return false
 }
 
-func sameTargets(a, b map[string]Target) bool { return maps.EqualFunc(a, b, Target.Same) }
+func sameTargets(a, b map[string]Target) bool { return maps.EqualFunc(a, b, Target.EqualForRouting) }
 
 // digest combines what Target.Same compares of each target.
 func digest(targets map[string]Target) uint64 {
@@ -380,8 +380,8 @@
 	return true
 }
 
-// KnownAt returns when the older one of configuration and registry was current.
-func (b *Board) KnownAt() clock.Instant {
+// CurrentAsOf returns when the older one of configuration and registry was current.
+func (b *Board) CurrentAsOf() clock.Instant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return min(b.targetsAt, b.rulesAt)
--- a/coordination/view/board_test.go
+++ b/coordination/view/board_test.go
@@ -62,15 +62,15 @@
 	// Cause: it did not know, nor say, that others know better.
 	It("says while it keeps targets that the registry lacks", func() {
 		read(time.Second, "x", "y")
-		Expect(b.Keeping()).To(BeFalse())
+		Expect(b.HasRetained()).To(BeFalse())
 		read(4*time.Second, "y")
 		Expect(believed("x")).To(BeTrue())
-		Expect(b.Keeping()).To(BeTrue())
+		Expect(b.HasRetained()).To(BeTrue())
 		for at := 4400 * time.Millisecond; at <= 7*time.Second; at += 400 * time.Millisecond {
 			read(at, "y")
 		}
 		Expect(believed("x")).To(BeFalse())
-		Expect(b.Keeping()).To(BeFalse())
+		Expect(b.HasRetained()).To(BeFalse())
 	})
 
 	// Symptom: sound targets get nothing after an outage. Sequence: the store is away for
@@ -97,7 +97,7 @@
 			read(at, "x", "y")
 		}
 		c.now = clock.Instant(13 * time.Second)
-		Expect(b.AdoptTargets(uint64(c.now), listing("y"), Kept{}, c.now)).To(BeTrue())
+		Expect(b.SetLeaderTargets(uint64(c.now), listing("y"), Retained{}, c.now)).To(BeTrue())
 		Expect(believed("x")).To(BeFalse())
 	})
 
@@ -107,30 +107,30 @@
 		for at := 2400 * time.Millisecond; at <= 6*time.Second; at += 400 * time.Millisecond {
 			read(at, "y")
 		}
-		kept := Kept{IDs: []string{"x"}, AsOf: uint64(time.Second)}
-		Expect(b.AdoptTargets(uint64(7*time.Second), listing("x", "y"), kept, c.now)).To(BeFalse())
+		kept := Retained{IDs: []string{"x"}, AsOf: uint64(time.Second)}
+		Expect(b.SetLeaderTargets(uint64(7*time.Second), listing("x", "y"), kept, c.now)).To(BeFalse())
 		Expect(believed("x")).To(BeFalse())
 		Expect(believed("y")).To(BeTrue())
 	})
 
 	It("takes what another instance keeps where it has not read since", func() {
 		read(time.Second, "y")
-		kept := Kept{IDs: []string{"x"}, AsOf: uint64(2 * time.Second)}
-		b.AdoptTargets(uint64(7*time.Second), listing("x", "y"), kept, c.now)
+		kept := Retained{IDs: []string{"x"}, AsOf: uint64(2 * time.Second)}
+		b.SetLeaderTargets(uint64(7*time.Second), listing("x", "y"), kept, c.now)
 		Expect(believed("x")).To(BeTrue())
-		Expect(b.Kept()).To(Equal(kept))
+		Expect(b.Retained()).To(Equal(kept))
 	})
 
 	It("tells as of when what it keeps was listed", func() {
 		read(time.Second, "x", "y")
 		read(4*time.Second, "y")
 		read(4400*time.Millisecond, "y")
-		Expect(b.Kept()).To(Equal(Kept{IDs: []string{"x"}, AsOf: uint64(time.Second)}))
+		Expect(b.Retained()).To(Equal(Retained{IDs: []string{"x"}, AsOf: uint64(time.Second)}))
 	})
 
 	It("does not take an older list of the leading instance's", func() {
 		read(4*time.Second, "x", "y")
-		Expect(b.AdoptTargets(1, listing("y"), Kept{}, clock.Instant(5*time.Second))).To(BeFalse())
+		Expect(b.SetLeaderTargets(1, listing("y"), Retained{}, clock.Instant(5*time.Second))).To(BeFalse())
 		Expect(believed("x")).To(BeTrue())
 	})
 
@@ -171,10 +171,10 @@
 	It("tells the name of a target from its ID, whatever the name is", func() {
 		for _, name := range []string{"i-1", "i@1", "@", ""} {
 			for _, born := range []int64{0, 1, -1, 1764717600123} {
-				Expect(NameOf(LifeID(name, born))).To(Equal(name))
+				Expect(TargetName(TargetID(name, born))).To(Equal(name))
 			}
 		}
-		Expect(LifeID("i-1", 5)).NotTo(Equal(LifeID("i-1", 6)))
+		Expect(TargetID("i-1", 5)).NotTo(Equal(TargetID("i-1", 6)))
 	})
 
 	It("remembers since when a target has been draining", func() {
@@ -219,6 +219,6 @@
 	It("knows as of when both the rules and the registry were current", func() {
 		read(5*time.Second, "x")
 		b.ConfirmRules(0, clock.Instant(3*time.Second))
-		Expect(b.KnownAt()).To(Equal(clock.Instant(3 * time.Second)))
+		Expect(b.CurrentAsOf()).To(Equal(clock.Instant(3 * time.Second)))
 	})
 })
--- a/coordination/view/evacuation.go
+++ b/coordination/view/evacuation.go
@@ -21,8 +21,8 @@
 // List returns the data centres that are evacuated, sorted.
 func (e Evacuations) List() []string { return slices.Sorted(maps.Keys(e.Since)) }
 
-// Covers reports whether a data centre is evacuated.
-func (e Evacuations) Covers(dataCentre string) bool {
+// Contains reports whether a data centre is evacuated.
+func (e Evacuations) Contains(dataCentre string) bool {
 	_, evacuated := e.Since[dataCentre]
 	return evacuated
 }
@@ -48,7 +48,7 @@
 		delete(next.Over, dataCentre)
 	}
 	for dataCentre := range e.Since {
-		if !next.Covers(dataCentre) {
+		if !next.Contains(dataCentre) {
 			next.Over[dataCentre] = now
 		}
 	}
@@ -77,12 +77,14 @@
 // evacuation; the news takes up to 1.5 s while the leading instance changes.
 const evacuateAfter = 2 * time.Second
 
-// Left reports whether nothing may be sent to a target any more: it has been draining for so long that
+// Excluded reports whether nothing may be sent to a target any more: it has been draining for so long that
 // it may have ended, or its data centre is evacuated.
-func (s *Snapshot) Left(t Target, now clock.Instant) bool {
-	return t.Left(now) || s.Evacuations.ClosedFor(t.DataCentre, now, evacuateAfter)
+func (s *Snapshot) Excluded(t Target, now clock.Instant) bool {
+	return t.DrainExpired(now) || s.Evacuations.ClosedFor(t.DataCentre, now, evacuateAfter)
 }
 
-// Wanted reports whether a target is to get new work: it is not about to leave, and its data centre is
+// AcceptsNewWork reports whether a target is to get new work: it is not about to leave, and its data centre is
 // not evacuated.
-func (s *Snapshot) Wanted(t Target) bool { return !t.Draining && !s.Evacuations.Covers(t.DataCentre) }
+func (s *Snapshot) AcceptsNewWork(t Target) bool {
+	return !t.Draining && !s.Evacuations.Contains(t.DataCentre)
+}
--- a/coordination/view/evacuation_test.go
+++ b/coordination/view/evacuation_test.go
@@ -28,16 +28,16 @@
 	It("is wanted for nothing new at once, and closed to all a while later", func() {
 		Expect(b.SetEvacuations(5, []string{"dc1"})).To(BeTrue())
 		s := b.Load()
-		Expect(s.Wanted(x)).To(BeFalse())
-		Expect(s.Wanted(Target{DataCentre: "dc2"})).To(BeTrue())
-		Expect(s.Left(x, c.now)).To(BeFalse())
-		Expect(s.Left(x, c.now.Add(evacuateAfter))).To(BeTrue())
+		Expect(s.AcceptsNewWork(x)).To(BeFalse())
+		Expect(s.AcceptsNewWork(Target{DataCentre: "dc2"})).To(BeTrue())
+		Expect(s.Excluded(x, c.now)).To(BeFalse())
+		Expect(s.Excluded(x, c.now.Add(evacuateAfter))).To(BeTrue())
 	})
 
 	It("is not opened again by older news (guards against a relay that knows less)", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		Expect(b.SetEvacuations(4, nil)).To(BeFalse())
-		Expect(b.Load().Evacuations.Covers("dc1")).To(BeTrue())
+		Expect(b.Load().Evacuations.Contains("dc1")).To(BeTrue())
 	})
 
 	It("keeps its time when another one follows", func() {
@@ -52,7 +52,7 @@
 		b.SetEvacuations(5, []string{"dc1"})
 		b.SetEvacuations(6, nil)
 		s := b.Load()
-		Expect(s.Wanted(x)).To(BeTrue())
+		Expect(s.AcceptsNewWork(x)).To(BeTrue())
 		Expect(s.ColdUntil(x)).To(Equal(c.now.Add(3 * time.Second)))
 		Expect(s.ColdRate("s")).To(Equal(5.0))
 		Expect(s.ColdUntil(Target{Service: "s", DataCentre: "dc2"})).To(BeNumerically("<=", c.now))
@@ -77,8 +77,8 @@
 		b.SetTargets(1, list, c.now)
 		other := &handClock{now: clock.Instant(time.Minute)}
 		board := NewBoard(other)
-		told := b.Load().Targets["x"].Told(c.now.Add(time.Second))
-		board.AdoptTargets(1, map[string]Target{"x": told}, Kept{}, other.now)
+		told := b.Load().Targets["x"].ForSync(c.now.Add(time.Second))
+		board.SetLeaderTargets(1, map[string]Target{"x": told}, Retained{}, other.now)
 		Expect(board.Load().Targets["x"].ColdUntil).To(Equal(other.now.Add(2 * time.Second)))
 		Expect(board.Load().TargetsDigest).To(Equal(b.Load().TargetsDigest))
 	})
--- a/coordination/view/returned.go
+++ b/coordination/view/returned.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ReturnedFor is how long after the store came back from a copy what was known before holds on, where the
+// RestoreGrace is how long after the store came back from a copy what was known before holds on, where the
 // store lacks it: whoever wrote it writes it again.
-const ReturnedFor = 10 * time.Second
+const RestoreGrace = 10 * time.Second
 
 // keepDraining has targets of a list go on to drain that did before: none takes that back.
 func keepDraining(list, before map[string]Target) {
--- a/coordination/view/target.go
+++ b/coordination/view/target.go
@@ -36,47 +36,47 @@
 	ColdUntil clock.Instant
 }
 
-// Same reports whether two entries are the same in what decides where requests go. The rest of
+// EqualForRouting reports whether two entries are the same in what decides where requests go. The rest of
 // a cold time changes with every heartbeat, and when a target was found to be draining differs
 // between instances.
-func (t Target) Same(u Target) bool {
+func (t Target) EqualForRouting(u Target) bool {
 	t.Cold, u.Cold = 0, 0
 	t.ColdUntil, u.ColdUntil = 0, 0
 	t.DrainingAt, u.DrainingAt = 0, 0
 	return t == u
 }
 
-// Told returns the target as it is told to another instance, whose clock reads otherwise.
-func (t Target) Told(now clock.Instant) Target {
+// ForSync returns the target as it is told to another instance, whose clock reads otherwise.
+func (t Target) ForSync(now clock.Instant) Target {
 	t.Cold = max(0, t.ColdUntil.Sub(now))
 	t.ColdUntil, t.DrainingAt = 0, 0
 	return t
 }
 
-// LeaveAfter is how long after it was known to be draining a target is still sent to. It must
+// DrainGrace is how long after it was known to be draining a target is still sent to. It must
 // get nothing 2 s after it said so; the news takes up to 1.5 s while the leading instance
 // changes.
-const LeaveAfter = 400 * time.Millisecond
+const DrainGrace = 400 * time.Millisecond
 
-// Left reports whether a target has been draining for so long that it may have ended.
-func (t Target) Left(now clock.Instant) bool {
-	return t.Draining && now.Sub(t.DrainingAt) > LeaveAfter
+// DrainExpired reports whether a target has been draining for so long that it may have ended.
+func (t Target) DrainExpired(now clock.Instant) bool {
+	return t.Draining && now.Sub(t.DrainingAt) > DrainGrace
 }
 
 // lifeMark stands between a target's name and its start in its ID.
 const lifeMark = "@"
 
-// LifeID returns the ID of one life of a target: the name under which the registry lists it,
+// TargetID returns the ID of one life of a target: the name under which the registry lists it,
 // and when it was started.
-func LifeID(name string, born int64) string {
+func TargetID(name string, born int64) string {
 	if born == 0 && !strings.Contains(name, lifeMark) {
 		return name
 	}
 	return name + lifeMark + strconv.FormatInt(born, 10)
 }
 
-// NameOf returns the name that a target goes by itself, which all its lives share.
-func NameOf(id string) string {
+// TargetName returns the name that a target goes by itself, which all its lives share.
+func TargetName(id string) string {
 	if i := strings.LastIndex(id, lifeMark); i >= 0 {
 		return id[:i]
 	}
--- a/instance/broker.go
+++ b/instance/broker.go
@@ -78,7 +78,7 @@
 		// An instance that is short of processor time may not have heard yet that a target
 		// leaves; its keeper is another one.
 		t, known := s.Targets[id.Target]
-		if !known || s.Left(t, b.clock.Now()) {
+		if !known || s.Excluded(t, b.clock.Now()) {
 			return nil
 		}
 		return []permit.Slot{slotOf(s, t)}
@@ -104,7 +104,7 @@
 	}
 	var list []permit.Slot
 	for _, t := range s.ByService[service] {
-		if s.Wanted(t) {
+		if s.AcceptsNewWork(t) {
 			list = append(list, slotOf(s, t))
 		}
 	}
@@ -237,7 +237,7 @@
 // than this instance. One that has just started while the store is away has read nothing: it
 // once refused all requests of a service for five seconds, though all targets were well.
 func (b *broker) knowsLess(reply *peerapi.AcquireReply) bool {
-	return !reply.Granted && reply.Reason == permit.ReasonNoTarget && reply.TargetsRead < b.board.TargetsRead()
+	return !reply.Granted && reply.Reason == permit.ReasonNoTarget && reply.TargetsRead < b.board.TargetsReadVersion()
 }
 
 func (b *broker) own(ctx context.Context, k *permit.Keeper, ask permit.Ask) (permit.Permit, error) {
--- a/instance/broker_test.go
+++ b/instance/broker_test.go
@@ -34,7 +34,7 @@
 	list := func(change func(*view.Target)) {
 		t := view.Target{ID: "k1", Service: "keyed", Address: "a", DataCentre: "dc0", Slots: 2}
 		change(&t)
-		board.SetTargets(board.TargetsRead()+1, map[string]view.Target{"k1": t}, clock.System{}.Now())
+		board.SetTargets(board.TargetsReadVersion()+1, map[string]view.Target{"k1": t}, clock.System{}.Now())
 	}
 
 	// Symptom: a target gets a request 2.9 s after it said that it leaves.
@@ -45,7 +45,7 @@
 		list(func(t *view.Target) { t.Draining = true })
 		_, err := b.Acquire(context.Background(), ask)
 		Expect(err).NotTo(HaveOccurred())
-		time.Sleep(view.LeaveAfter + 50*time.Millisecond)
+		time.Sleep(view.DrainGrace + 50*time.Millisecond)
 		ask.ID = "2"
 		_, err = b.Acquire(context.Background(), ask)
 		Expect(err).To(MatchError(ContainSubstring(permit.ReasonNoTarget)))
@@ -88,7 +88,7 @@
 		Expect(p.Target).To(Equal("k1"))
 
 		// One that knows as much is believed.
-		ignorant.board.SetTargets(board.TargetsRead(), nil, clock.System{}.Now())
+		ignorant.board.SetTargets(board.TargetsReadVersion(), nil, clock.System{}.Now())
 		ask.ID = "2"
 		_, err = b.Acquire(context.Background(), ask)
 		Expect(err).To(MatchError(ContainSubstring(permit.ReasonNoTarget)))
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -56,7 +56,7 @@
 // balance is when keys move for balance, beside what each service says.
 var balance = keyrange.Policy{
 	// With six slots a difference of less than this is one request more or less.
-	LeastGain: 0.12,
+	MinGain: 0.12,
 }
 
 // Instance is one running instance.
@@ -330,7 +330,7 @@
 	}
 	var refused *permit.RefusedError
 	if errors.As(err, &refused) {
-		return &peerapi.AcquireReply{Reason: refused.Reason, RetryAfter: refused.RetryAfter, TargetsRead: b.board.TargetsRead()}
+		return &peerapi.AcquireReply{Reason: refused.Reason, RetryAfter: refused.RetryAfter, TargetsRead: b.board.TargetsReadVersion()}
 	}
 	return &peerapi.AcquireReply{Reason: "stopping", RetryAfter: time.Second}
 }
--- a/instance/operate.go
+++ b/instance/operate.go
@@ -43,7 +43,7 @@
 	s := i.board.Load()
 	d := &peerapi.Description{
 		Instance: i.self, RulesVersion: s.RulesVersion, Maps: map[string]uint64{},
-		Known: i.clock.Now().Sub(i.board.KnownAt()),
+		Known: i.clock.Now().Sub(i.board.CurrentAsOf()),
 	}
 	for service, m := range s.Maps {
 		d.Maps[service] = m.Version
@@ -113,7 +113,7 @@
 	leader := o.coordinator.Leader()
 	status := admin.Status{
 		Instance: o.self.ID, Leader: leader.Holder, Term: leader.Term, Leading: o.coordinator.Leading(),
-		KnownMs: o.clock.Now().Sub(o.board.KnownAt()).Milliseconds(), Rules: s.RulesVersion, Evacuated: s.Evacuations.List(),
+		KnownMs: o.clock.Now().Sub(o.board.CurrentAsOf()).Milliseconds(), Rules: s.RulesVersion, Evacuated: s.Evacuations.List(),
 	}
 	found, missing := o.ask(ctx, &peerapi.DescribeArgs{})
 	for _, d := range found {
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -128,7 +128,7 @@
 	TargetsGone  []string
 	TargetsWhole bool
 	// TargetsKept are those that the sender believes though the registry does not list them.
-	TargetsKept view.Kept
+	TargetsKept view.Retained
 	// Whole tells a sender that knows nothing all targets, maps and instances, compressed, in place of
 	// the fields for them.
 	Whole []byte
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -312,7 +312,7 @@
 // record writes the line that tells how the request was decided.
 func (c *call) record(res result) {
 	took := time.Since(c.start)
-	known := c.h.clock.Now().Sub(c.h.board.KnownAt())
+	known := c.h.clock.Now().Sub(c.h.board.CurrentAsOf())
 	requestSeconds.Update(took.Seconds())
 	if c.snapshot.Rules != nil {
 		knownSeconds.Update(known.Seconds())
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -280,7 +280,7 @@
 		list := map[string]view.Target{"k1": {ID: "k1", Service: "keyed", Address: "k1", Slots: 2, Draining: true}}
 		f.board.SetTargets(2, list, now)
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
-		time.Sleep(view.LeaveAfter + 50*time.Millisecond)
+		time.Sleep(view.DrainGrace + 50*time.Millisecond)
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 	})
 
@@ -292,7 +292,7 @@
 		f.permits.before = func() {
 			now := clock.System{}.Now()
 			f.board.SetTargets(2, map[string]view.Target{"k1": {ID: "k1", Service: "keyed", Address: "k1", Slots: 2, Draining: true}}, now)
-			time.Sleep(view.LeaveAfter + 50*time.Millisecond)
+			time.Sleep(view.DrainGrace + 50*time.Millisecond)
 		}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 		Expect(f.up.tries).To(BeEmpty())
--- a/transport/front/standing.go
+++ b/transport/front/standing.go
@@ -70,7 +70,7 @@
 // The registry and the operators tell so, and the target itself in its answers: while the store is away,
 // only the last is heard.
 func (c *call) hasLeft(t view.Target) bool {
-	return c.h.board.Load().Left(t, c.h.clock.Now()) || c.h.config.Standing.Left(t.ID)
+	return c.h.board.Load().Excluded(t, c.h.clock.Now()) || c.h.config.Standing.Left(t.ID)
 }
 
 // awaitPause waits for the end of a short pause that the owner of a key wants. Through a longer one the
@@ -107,5 +107,5 @@
 // cannotMove reports whether the keys of an owner that has left stay with it for now: only the leading
 // instance gives them on, and stores that before it does.
 func (c *call) cannotMove() bool {
-	return c.h.clock.Now().Sub(c.h.board.KnownAt()) > cannotMoveAfter
+	return c.h.clock.Now().Sub(c.h.board.CurrentAsOf()) > cannotMoveAfter
 }
--- a/transport/front/try.go
+++ b/transport/front/try.go
@@ -81,7 +81,7 @@
 	if c.service.TargetConnections > 0 {
 		limit = max(2, c.service.TargetConnections/instances)
 	}
-	return upstream.Target{ID: t.ID, Name: view.NameOf(t.ID), Address: t.Address, Connections: limit}
+	return upstream.Target{ID: t.ID, Name: view.TargetName(t.ID), Address: t.Address, Connections: limit}
 }
 
 func (c *call) request() *upstream.Request {
--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -190,7 +190,7 @@
 		return nil, fmt.Errorf("orders: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(c.names.Target, view.NameOf(o.Target))
+	req.Header.Set(c.names.Target, view.TargetName(o.Target))
 	return cn.roundTrip(req, timeout)
 }
 
@@ -235,7 +235,7 @@
 		if cn != nil {
 			return cn, nil
 		}
-		if o.Since == clock.Never {
+		if o.ConnectedSince == clock.Never {
 			return c.dial(ctx, o)
 		}
 		if changed == nil {
@@ -310,7 +310,9 @@
 }
 
 // serves reports whether the connection has been open for as long as an order asks.
-func (cn *conn) serves(o assign.Order) bool { return o.Since == clock.Never || cn.openAt <= o.Since }
+func (cn *conn) serves(o assign.Order) bool {
+	return o.ConnectedSince == clock.Never || cn.openAt <= o.ConnectedSince
+}
 
 // forget takes a connection that was closed out of use.
 func (c *Client) forget(target string, cn *conn) {
--- a/transport/orders/orders_test.go
+++ b/transport/orders/orders_test.go
@@ -57,7 +57,7 @@
 	always := func() bool { return true }
 	names := wire.Names{Target: "Target"}
 	renewal := func(address string, n int) assign.Order {
-		return assign.Order{Kind: assign.Renew, Target: "t1", Address: address, From: uint16(n), To: uint16(n), Fence: 1, Hold: time.Second, Since: clock.Never}
+		return assign.Order{Kind: assign.Renew, Target: "t1", Address: address, From: uint16(n), To: uint16(n), Fence: 1, Hold: time.Second, ConnectedSince: clock.Never}
 	}
 
 	// Symptom: targets reset connections beyond their number, renewals among them.
@@ -104,7 +104,7 @@
 		c := NewClient(plain{}, names, clock.System{}, always)
 		do := func(since clock.Instant) assign.Outcome {
 			o := renewal(address, 1)
-			o.Since = since
+			o.ConnectedSince = since
 			outcome, _, _ := c.Do(context.Background(), o)
 			return outcome
 		}
@@ -131,7 +131,7 @@
 			round.Go(func() {
 				defer GinkgoRecover()
 				o := renewal(address, n)
-				o.Since = held
+				o.ConnectedSince = held
 				outcome, _, _ := c.Do(context.Background(), o)
 				Expect(outcome).To(Equal(assign.Done))
 			})
@@ -144,7 +144,7 @@
 		name := ""
 		address, _ := countingTarget(func(_ http.ResponseWriter, r *http.Request) { name = r.Header.Get("Target") })
 		o := renewal(address, 1)
-		o.Target = view.LifeID("t@1", 4711)
+		o.Target = view.TargetID("t@1", 4711)
 		NewClient(plain{}, names, clock.System{}, always).Do(context.Background(), o)
 		Expect(name).To(Equal("t@1"))
 	})
