--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -44,8 +44,8 @@
 	return &Collector{work: map[workKey]float32{}, pace: map[string]*peerapi.Pace{}, means: map[string]time.Duration{}, works: map[string]time.Duration{}, sizes: map[string]float64{}, perRequest: map[string]float64{}}
 }
 
-// Arrived notes a request for a key.
-func (c *Collector) Arrived(service, rule string, key uint16) {
+// RecordArrival notes a request for a key.
+func (c *Collector) RecordArrival(service, rule string, key uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	work := c.workOf(rule).Seconds()
@@ -57,8 +57,8 @@
 	c.perRequest[service] = mean + smoothing*(work-mean)
 }
 
-// PerRequest returns the mean work of the requests for a service's keys that arrive at this instance.
-func (c *Collector) PerRequest(service string) time.Duration {
+// MeanWork returns the mean work of the requests for a service's keys that arrive at this instance.
+func (c *Collector) MeanWork(service string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	mean, known := c.perRequest[service]
@@ -82,15 +82,15 @@
 	return firstMean
 }
 
-// Expected returns the mean time of a rule's requests.
-func (c *Collector) Expected(rule string) time.Duration {
+// MeanDuration returns the mean time of a rule's requests.
+func (c *Collector) MeanDuration(rule string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.mean(rule)
 }
 
-// Size returns the mean size of a rule's answers, in bytes; 0 before the first one.
-func (c *Collector) Size(rule string) float64 {
+// MeanAnswerSize returns the mean size of a rule's answers, in bytes; 0 before the first one.
+func (c *Collector) MeanAnswerSize(rule string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sizes[rule]
@@ -109,8 +109,8 @@
 	Limit float64
 }
 
-// Answered notes an answer of a target.
-func (c *Collector) Answered(target, rule string, a Answer) {
+// RecordAnswer notes an answer of a target.
+func (c *Collector) RecordAnswer(target, rule string, a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if mean, known := c.sizes[rule]; known {
@@ -147,8 +147,8 @@
 	return mean + time.Duration(smoothing*float64(value-mean))
 }
 
-// Add takes what another instance has collected, to be drained with what was collected here.
-func (c *Collector) Add(work []peerapi.Work, pace []peerapi.Pace) {
+// AddReport takes what another instance has collected, to be drained with what was collected here.
+func (c *Collector) AddReport(work []peerapi.Work, pace []peerapi.Pace) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range work {
@@ -193,8 +193,8 @@
 	slowest = 10
 )
 
-// Total adds up the reports of all instances. It is safe for concurrent use.
-type Total struct {
+// Aggregator adds up the reports of all instances. It is safe for concurrent use.
+type Aggregator struct {
 	mu       sync.Mutex
 	load     map[string]*keyrange.Load
 	arrived  map[string]map[uint16]float32
@@ -213,13 +213,13 @@
 // all its keys tells nobody when it ends.
 const limitHolds = 10 * time.Second
 
-// NewTotal returns an empty total.
-func NewTotal() *Total {
-	return &Total{load: map[string]*keyrange.Load{}, arrived: map[string]map[uint16]float32{}, slowness: map[string]float64{}, limits: map[string]limitTold{}, at: clock.Never}
+// NewAggregator returns an empty total.
+func NewAggregator() *Aggregator {
+	return &Aggregator{load: map[string]*keyrange.Load{}, arrived: map[string]map[uint16]float32{}, slowness: map[string]float64{}, limits: map[string]limitTold{}, at: clock.Never}
 }
 
-// Add takes one report that was made now.
-func (t *Total) Add(work []peerapi.Work, pace []peerapi.Pace, now clock.Instant) {
+// AddReport takes one report that was made now.
+func (t *Aggregator) AddReport(work []peerapi.Work, pace []peerapi.Pace, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range work {
@@ -247,7 +247,7 @@
 
 // Load returns the averaged load of a service's keys as of now, and the speeds of targets.
 // The load must not be kept beyond the next call of Load for the service.
-func (t *Total) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
+func (t *Aggregator) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.average(now)
@@ -265,7 +265,7 @@
 
 // Limits returns how many requests a second targets take from all instances together, of those that name a
 // limit.
-func (t *Total) Limits(now clock.Instant) map[string]float64 {
+func (t *Aggregator) Limits(now clock.Instant) map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limits := map[string]float64{}
@@ -283,7 +283,7 @@
 const leastInterval = 200 * time.Millisecond
 
 // average lets what arrived since the last time flow into the averages.
-func (t *Total) average(now clock.Instant) {
+func (t *Aggregator) average(now clock.Instant) {
 	if t.at == clock.Never {
 		t.at = now
 		return
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -24,7 +24,7 @@
 const work = 0.25
 
 // arrive plays requests for seconds: so many a second, each for a key that pick returns.
-func arrive(t *Total, now clock.Instant, seconds, perSecond int, pick func() uint16) (clock.Instant, *keyrange.Load) {
+func arrive(t *Aggregator, now clock.Instant, seconds, perSecond int, pick func() uint16) (clock.Instant, *keyrange.Load) {
 	var load *keyrange.Load
 	for range seconds * 2 {
 		now = now.Add(500 * time.Millisecond)
@@ -32,7 +32,7 @@
 		for range perSecond / 2 {
 			list = append(list, peerapi.Work{Service: "s", Key: pick(), Seconds: work})
 		}
-		t.Add(list, nil, now)
+		t.AddReport(list, nil, now)
 		load, _ = t.Load("s", now)
 	}
 	return now, load
@@ -57,13 +57,13 @@
 	}
 
 	It("is the work that arrives in a second", func() {
-		_, load := arrive(NewTotal(), start, 20, 800, even)
+		_, load := arrive(NewAggregator(), start, 20, 800, even)
 		Expect(total(load, 0, 1<<16)).To(BeNumerically("~", 200, 6))
 	})
 
 	// Symptom: the owner of keys that have become hot turns requests away for long.
 	It("shows within two seconds that keys have become hot, and that they are so no more", func() {
-		t := NewTotal()
+		t := NewAggregator()
 		now, _ := arrive(t, start, 30, 800, even)
 		now, load := arrive(t, now, 2, 800, hot)
 		Expect(total(load, 30000, 30060)).To(BeNumerically(">", 25), "it is going to 80")
@@ -73,9 +73,9 @@
 	})
 
 	It("tells how fast targets are", func() {
-		t := NewTotal()
+		t := NewAggregator()
 		for range 50 {
-			t.Add(nil, []peerapi.Pace{{Target: "slow", Count: 4, Slowness: 8}, {Target: "fast", Count: 4, Slowness: 2}}, start)
+			t.AddReport(nil, []peerapi.Pace{{Target: "slow", Count: 4, Slowness: 8}, {Target: "fast", Count: 4, Slowness: 2}}, start)
 		}
 		_, speeds := t.Load("s", start)
 		Expect(speeds["slow"]).To(BeNumerically("~", 0.5, 0.05))
@@ -86,9 +86,9 @@
 var _ = Describe("a collector", func() {
 	It("hands over each request once, with the mean work of its rule", func() {
 		c := NewCollector()
-		c.Answered("t", "r", Answer{Took: 200 * time.Millisecond, Size: 100})
-		c.Arrived("s", "r", 7)
-		c.Arrived("s", "r", 7)
+		c.RecordAnswer("t", "r", Answer{Took: 200 * time.Millisecond, Size: 100})
+		c.RecordArrival("s", "r", 7)
+		c.RecordArrival("s", "r", 7)
 		work, _ := c.Drain()
 		Expect(work).To(Equal([]peerapi.Work{{Service: "s", Key: 7, Seconds: 0.4}}))
 		work, _ = c.Drain()
--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -58,7 +58,7 @@
 		select {
 		case t.done <- func() {
 			if err == nil && quarantined != nil {
-				t.c.quarantine.Stored(quarantined)
+				t.c.quarantine.MarkStored(quarantined)
 			}
 			t.committed(now, proposed, version, err, again)
 		}:
@@ -72,7 +72,7 @@
 // and returns what it adds. All instances may be lost at once: the next ones would learn of a request
 // that crashes targets only by the targets that it crashes then.
 func (t *term) quarantineRow(txn *store.Txn) []byte {
-	text, err := t.c.quarantine.ToStore()
+	text, err := t.c.quarantine.PendingWrite()
 	if err != nil {
 		t.c.log("quarantine-not-written", "error", err.Error())
 		return nil
--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -69,7 +69,7 @@
 	peers     Peers
 	orders    Orders
 	collector *demand.Collector
-	total     *demand.Total
+	total     *demand.Aggregator
 	log       Log
 	reader    *reader
 	// standing is what targets have said that they leave; the leading instance empties them.
@@ -147,7 +147,7 @@
 	}
 	return &Coordinator{
 		config: config, clock: c, store: s, board: board, peers: peers, orders: orders,
-		collector: collector, total: demand.NewTotal(), log: log,
+		collector: collector, total: demand.NewAggregator(), log: log,
 		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, standing: config.Standing,
 		wake: make(chan struct{}, 1), lastSync: clock.Never, storeOK: true,
 		leaderKnown: make(chan struct{}), heard: make(chan struct{}), lookedAt: clock.Never, answeredAt: clock.Never, started: c.Now(),
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -225,7 +225,7 @@
 		c.adoptMap(service, news)
 	}
 	c.adoptInstances(args, reply)
-	c.quarantine.Reported(args.Quarantine)
+	c.quarantine.MarkReported(args.Quarantine)
 	c.quarantine.Adopt(reply.Quarantine, reply.QuarantineVersion)
 	c.told.remember(c.board.Load(), c.versionsKept())
 	return taken
--- a/coordination/lead/quarantine_test.go
+++ b/coordination/lead/quarantine_test.go
@@ -13,7 +13,7 @@
 	// learnTime is the time after the last crash in which all instances must know of it.
 	const learnTime = 3 * time.Second
 
-	id := quarantine.Identity{Content: 7, Caller: 1}
+	id := quarantine.Identity{Fingerprint: 7, Caller: 1}
 
 	// knowing counts the instances at which the request is quarantined, but for those that are down.
 	knowing := func(g *grown) int {
@@ -34,8 +34,8 @@
 	It("is known to all in time", func() {
 		g := newGrown(120, 5)
 		g.start()
-		g.all[g.list[118].Address].quarantine.Crashed(id, "t1")
-		g.all[g.list[119].Address].quarantine.Crashed(id, "t2")
+		g.all[g.list[118].Address].quarantine.RecordCrash(id, "t1")
+		g.all[g.list[119].Address].quarantine.RecordCrash(id, "t2")
 		Eventually(func() int { return knowing(g) }, learnTime, "20ms").Should(Equal(120))
 	})
 
@@ -44,8 +44,8 @@
 		g := newGrown(120, 5)
 		g.start()
 		time.Sleep(300 * time.Millisecond)
-		g.all[g.list[118].Address].quarantine.Crashed(id, "t1")
-		g.all[g.list[119].Address].quarantine.Crashed(id, "t2")
+		g.all[g.list[118].Address].quarantine.RecordCrash(id, "t1")
+		g.all[g.list[119].Address].quarantine.RecordCrash(id, "t2")
 		lost := g.relaysOf("dc4")[0]
 		g.set(g.down, true, lost)
 		Eventually(func() int { return knowing(g) }, learnTime, "20ms").Should(BeNumerically(">=", 119))
--- a/coordination/lead/serve.go
+++ b/coordination/lead/serve.go
@@ -15,7 +15,7 @@
 // Sync answers a report of another instance, as soon as there is something new for it.
 func (c *Coordinator) Sync(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
 	c.quarantine.Merge(args.Quarantine)
-	c.standing.Report(args.LeavingTargets)
+	c.standing.RecordReported(args.LeavingTargets)
 	c.mu.Lock()
 	t := c.term
 	c.mu.Unlock()
@@ -32,7 +32,7 @@
 	if args.StoreAnswers {
 		t.heardOfStore()
 	}
-	c.total.Add(args.Work, args.Pace, c.clock.Now())
+	c.total.AddReport(args.Work, args.Pace, c.clock.Now())
 	begun := c.clock.Now()
 	c.awaitNews(ctx, t, args)
 	t.heard(args.Self, c.clock.Now(), args.Leaving)
@@ -108,7 +108,7 @@
 	reply := &peerapi.SyncReply{
 		RulesRead: c.board.RulesReadVersion(), TargetsRead: c.board.TargetsReadVersion(), TargetsKept: c.board.Retained(), Age: c.clock.Now().Sub(c.board.CurrentAsOf()),
 	}
-	reply.Quarantine, reply.QuarantineVersion = c.quarantine.News(args.QuarantineVersion)
+	reply.Quarantine, reply.QuarantineVersion = c.quarantine.UpdateSince(args.QuarantineVersion)
 	s := c.board.Load()
 	reply.RulesVersion, reply.TargetsDigest = s.RulesVersion, s.TargetsDigest
 	if s.Evacuations.Version > args.EvacuationsVersion {
--- a/coordination/lead/stored.go
+++ b/coordination/lead/stored.go
@@ -77,7 +77,7 @@
 		c.board.SetMap(service, m)
 	}
 	if s.quarantine != nil {
-		if err := c.quarantine.TakeStored(s.quarantine); err != nil {
+		if err := c.quarantine.LoadStored(s.quarantine); err != nil {
 			c.log("quarantine-refused", "error", err.Error())
 		}
 	}
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -94,7 +94,7 @@
 	c.setLeader(s.lease)
 	c.observer.Observe(s.leaseVersion, false, now)
 	c.mu.Unlock()
-	c.quarantine.Lead(s.lease.Term)
+	c.quarantine.StartLeading(s.lease.Term)
 	c.log("lease-taken", "term", s.lease.Term, "lease", s.leaseVersion)
 	return t
 }
@@ -121,7 +121,7 @@
 	t.mu.Lock()
 	t.holder.Release()
 	t.mu.Unlock()
-	t.c.quarantine.Follow()
+	t.c.quarantine.StopLeading()
 	t.c.log("lease-ended", "term", t.stored.lease.Term)
 	close(t.exited)
 }
@@ -189,7 +189,7 @@
 			t.managers[s.Name] = m
 		}
 		m.SetTargets(now, asPlaced(snapshot, snapshot.ByService[s.Name], leaving))
-		m.SetColdRate(s.ColdRate, t.c.collector.PerRequest(s.Name))
+		m.SetColdRate(s.ColdRate, t.c.collector.MeanWork(s.Name))
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	t.loadAt = now
 	work, pace := t.c.collector.Drain()
-	t.c.total.Add(work, pace, now)
+	t.c.total.AddReport(work, pace, now)
 	limits := t.c.total.Limits(now)
 	for service, m := range t.managers {
 		m.SetLoad(t.c.total.Load(service, now))
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -138,7 +138,7 @@
 
 // noteDownstream notes a report that is to be passed on.
 func (c *Coordinator) noteDownstream(args *peerapi.SyncArgs) {
-	c.collector.Add(args.Work, args.Pace)
+	c.collector.AddReport(args.Work, args.Pace)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.below[args.Self.ID]
--- a/coordination/lead/tree_test.go
+++ b/coordination/lead/tree_test.go
@@ -194,7 +194,7 @@
 		g := newGrown(120, 5)
 		g.start()
 		last := g.all[g.list[119].Address]
-		last.collector.Arrived("s", "r", 77)
+		last.collector.RecordArrival("s", "r", 77)
 		Eventually(func() float32 {
 			load, _ := g.leader.total.Load("s", g.leader.clock.Now())
 			return load[77]
@@ -209,7 +209,7 @@
 	It("tells the leading instance of a target that has said that it leaves", func() {
 		g := newGrown(120, 5)
 		g.start()
-		g.all[g.list[119].Address].standing.Heard("x", true, 0)
+		g.all[g.list[119].Address].standing.RecordStatus("x", true, 0)
 		Eventually(func() []string { return g.leader.leavingTargets(g.leader.board.Load()) }, "1.5s", "20ms").Should(ConsistOf("x"))
 		Expect(asPlaced(&view.Snapshot{}, []view.Target{{ID: "x"}, {ID: "y"}}, []string{"x"})).To(Equal([]view.Target{{ID: "x", Draining: true}, {ID: "y"}}))
 	})
--- a/coordination/permit/cold.go
+++ b/coordination/permit/cold.go
@@ -12,7 +12,7 @@
 // what the target bears.
 
 // coldInterval is the least time between two requests for a cold target.
-func (s Slot) coldInterval() time.Duration {
+func (s Target) coldInterval() time.Duration {
 	return time.Duration(float64(time.Second) / s.ColdRate)
 }
 
--- a/coordination/permit/cold_test.go
+++ b/coordination/permit/cold_test.go
@@ -11,14 +11,14 @@
 
 var _ = g.Describe("a cold target", func() {
 	const rate = 5.8
-	cold := func(until time.Duration) Slot {
-		return Slot{Target: "a", Slots: 30, ColdUntil: start.Add(until), ColdRate: rate}
+	cold := func(until time.Duration) Target {
+		return Target{ID: "a", Slots: 30, ColdUntil: start.Add(until), ColdRate: rate}
 	}
 	// sent asks all the time, with answers at once, and counts what the pool lets through.
 	sent := func(f *fixture, length time.Duration) int {
 		count := 0
 		for end := f.now.Add(length); f.now < end; f.now = f.now.Add(5 * time.Millisecond) {
-			f.setSlots([]Slot{f.slots["a"].Slot}, f.now)
+			f.setSlots([]Target{f.slots["a"].Target}, f.now)
 			w, p, err := f.ask(func(a *Ask) { a.Left = 60 * time.Second; a.AimLeft = time.Minute })
 			if err != nil {
 				continue
@@ -49,14 +49,14 @@
 		before, after := newFixture(cold(3*time.Second)), newFixture(cold(3*time.Second))
 		sent(before, 2*time.Second)
 		after.now = before.now
-		after.setSlots([]Slot{cold(3 * time.Second)}, after.now)
+		after.setSlots([]Target{cold(3 * time.Second)}, after.now)
 		Expect(sent(before, 500*time.Millisecond) + sent(after, 500*time.Millisecond)).To(BeNumerically("<=", 6))
 	})
 
 	g.It("is spaced anew when it turns cold in use (guards against the rate of before going on)", func() {
-		f := newFixture(Slot{Target: "a", Slots: 30, ColdRate: rate})
+		f := newFixture(Target{ID: "a", Slots: 30, ColdRate: rate})
 		sent(f, time.Second)
-		f.setSlots([]Slot{cold(10 * time.Second)}, f.now)
+		f.setSlots([]Target{cold(10 * time.Second)}, f.now)
 		Expect(sent(f, time.Second)).To(BeNumerically("<=", 6))
 	})
 
@@ -77,13 +77,13 @@
 	})
 
 	g.It("does not hold up others of its pool", func() {
-		f := newFixture(cold(3*time.Second), Slot{Target: "b", Slots: 2})
+		f := newFixture(cold(3*time.Second), Target{ID: "b", Slots: 2})
 		_, p, err := f.ask(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("b"))
 	})
 
 	g.It("is not cold where no rate is known", func() {
-		Expect(Slot{ColdUntil: clock.Instant(time.Hour)}.Cold(0)).To(BeFalse())
+		Expect(Target{ColdUntil: clock.Instant(time.Hour)}.Cold(0)).To(BeFalse())
 	})
 })
--- a/coordination/permit/groups.go
+++ b/coordination/permit/groups.go
@@ -37,7 +37,7 @@
 
 // GroupOf returns the name of the group that a target belongs to, among all targets of its
 // service.
-func GroupOf(s Slot, all []Slot) string {
+func GroupOf(s Target, all []Target) string {
 	if len(all) <= groupAbove {
 		return ""
 	}
@@ -48,11 +48,11 @@
 		}
 	}
 	parts := uint64((here + groupSize - 1) / groupSize)
-	return s.DataCentre + "/" + strconv.FormatUint(xxhash.Sum64String(s.Target)%parts, 10)
+	return s.DataCentre + "/" + strconv.FormatUint(xxhash.Sum64String(s.ID)%parts, 10)
 }
 
 // Groups returns the groups of a service's targets, sorted by name.
-func Groups(all []Slot) []Group {
+func Groups(all []Target) []Group {
 	byName := map[string]*Group{}
 	for _, s := range all {
 		name := GroupOf(s, all)
@@ -96,17 +96,17 @@
 	return &Chooser{clock: c, home: home, told: map[groupID]told{}}
 }
 
-// Told notes how long a request would have waited, or waited, in a group.
-func (c *Chooser) Told(service, group string, wait time.Duration) {
+// RecordWait notes how long a request would have waited, or waited, in a group.
+func (c *Chooser) RecordWait(service, group string, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.told[groupID{service, group}] = told{wait, c.clock.Now()}
 }
 
-// Order returns groups in the order in which to ask them for a free slot: those of the own
+// Candidates returns groups in the order in which to ask them for a free slot: those of the own
 // data centre first, the others at random by their slots. Groups that had none a moment ago
 // are left out, and those of other data centres where going there costs much: see Shortest.
-func (c *Chooser) Order(service string, groups []Group, cost time.Duration) []Group {
+func (c *Chooser) Candidates(service string, groups []Group, cost time.Duration) []Group {
 	type ranked struct {
 		Group
 		key float64
@@ -140,9 +140,9 @@
 // abroadLast puts the groups of other data centres behind all of the own one.
 const abroadLast = 1e9
 
-// Shortest returns the group in which the wait is shortest, as far as known, with the cost of
+// ShortestWait returns the group in which the wait is shortest, as far as known, with the cost of
 // going to another data centre.
-func (c *Chooser) Shortest(service string, groups []Group, cost time.Duration) Group {
+func (c *Chooser) ShortestWait(service string, groups []Group, cost time.Duration) Group {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordination/permit/home.go
+++ b/coordination/permit/home.go
@@ -21,9 +21,9 @@
 	homeMargin = 1.5
 )
 
-// AbroadCost is what a target in another data centre is counted slower for answers of a mean size
+// CrossDataCentreCost is what a target in another data centre is counted slower for answers of a mean size
 // in bytes.
-func AbroadCost(bytes float64) time.Duration {
+func CrossDataCentreCost(bytes float64) time.Duration {
 	return abroad + time.Duration(bytes/1024*float64(abroadEachKB))
 }
 
--- a/coordination/permit/home_test.go
+++ b/coordination/permit/home_test.go
@@ -23,9 +23,9 @@
 	)
 	random := rand.New(rand.NewPCG(3, 3))
 	homes := []string{"dc1", "dc2", "dc3"}
-	var list []Slot
+	var list []Target
 	for _, home := range homes {
-		list = append(list, Slot{Target: home + "a", DataCentre: home, Slots: 6}, Slot{Target: home + "b", DataCentre: home, Slots: 6})
+		list = append(list, Target{ID: home + "a", DataCentre: home, Slots: 6}, Target{ID: home + "b", DataCentre: home, Slots: 6})
 	}
 	f := newFixture(list...)
 	type end struct {
@@ -94,7 +94,7 @@
 }
 
 var _ = g.Describe("large answers", func() {
-	large := AbroadCost(90_000)
+	large := CrossDataCentreCost(90_000)
 
 	// Symptom: bytes between data centres cost more than anything else. Sequence: answers of
 	// 90 KB are asked for in three data centres; the targets of one are fastest. Cause: nothing
@@ -115,7 +115,7 @@
 	})
 
 	g.It("do not wait for targets that are not there", func() {
-		f := newFixture(Slot{Target: "b", Slots: 1, DataCentre: "dc2"})
+		f := newFixture(Target{ID: "b", Slots: 1, DataCentre: "dc2"})
 		_, p, err := f.ask(func(a *Ask) { a.DataCentre, a.Abroad = "dc1", large })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("b"))
--- a/coordination/permit/keeper.go
+++ b/coordination/permit/keeper.go
@@ -20,7 +20,7 @@
 type Keeper struct {
 	clock clock.Clock
 	// slots returns the targets of a pool as they are believed to be now.
-	slots func(id PoolID) []Slot
+	slots func(id PoolID) []Target
 
 	// busy tells Run that slots are in use again.
 	busy chan struct{}
@@ -50,7 +50,7 @@
 
 // NewKeeper returns a keeper. The function slots is called with the lock held and must not
 // block.
-func NewKeeper(c clock.Clock, slots func(PoolID) []Slot) *Keeper {
+func NewKeeper(c clock.Clock, slots func(PoolID) []Target) *Keeper {
 	return &Keeper{clock: c, slots: slots, busy: make(chan struct{}, 1), pools: map[PoolID]*keptPool{}}
 }
 
--- a/coordination/permit/limit_test.go
+++ b/coordination/permit/limit_test.go
@@ -14,7 +14,7 @@
 	named := func(age time.Duration) func(*Ask) {
 		return func(a *Ask) { a.Limits = []standing.Limit{{Target: "a", PerSecond: perSecond, Age: age}} }
 	}
-	one := func() *fixture { return newFixture(Slot{Target: "a", Slots: 6}) }
+	one := func() *fixture { return newFixture(Target{ID: "a", Slots: 6}) }
 	// spendAll uses what has been saved up in a pause.
 	spendAll := func(f *fixture) {
 		g.GinkgoHelper()
--- a/coordination/permit/order_test.go
+++ b/coordination/permit/order_test.go
@@ -16,7 +16,7 @@
 				{rule: "look-up", rank: 2, share: 0.45, work: 160 * time.Millisecond, aim: 600 * time.Millisecond, patience: 4 * time.Second},
 				{rule: "booking", rank: 1, share: 0.55, work: 210 * time.Millisecond, aim: 800 * time.Millisecond, patience: 5 * time.Second},
 			},
-			perSecond: perSecond, seconds: 600, slots: []Slot{{Target: "a", DataCentre: "dc1", Slots: 3}}, tells: true,
+			perSecond: perSecond, seconds: 600, slots: []Target{{ID: "a", DataCentre: "dc1", Slots: 3}}, tells: true,
 		}.run(3)
 		g.GinkgoWriter.Printf("%.0f a second: in time %.3f\n", perSecond, shares)
 		return shares
--- a/coordination/permit/pace_test.go
+++ b/coordination/permit/pace_test.go
@@ -43,9 +43,9 @@
 // with pace learnt from answers.
 var _ = g.Describe("short requests on targets that are disturbed", func() {
 	g.It("are in time more often where targets tell their pace (guards against a mean that hides a disturbance)", func() {
-		var list []Slot
+		var list []Target
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
-			list = append(list, Slot{Target: name, DataCentre: "dc1", Slots: 3})
+			list = append(list, Target{ID: name, DataCentre: "dc1", Slots: 3})
 		}
 		p := play{
 			kinds:     []kind{{rule: "r", share: 1, work: 65 * time.Millisecond, aim: 250 * time.Millisecond, patience: time.Second}},
--- a/coordination/permit/permit_test.go
+++ b/coordination/permit/permit_test.go
@@ -27,14 +27,14 @@
 	next int
 }
 
-func newFixture(slots ...Slot) *fixture {
+func newFixture(slots ...Target) *fixture {
 	f := &fixture{pool: newPool(), now: start}
 	f.setSlots(slots, f.now)
 	return f
 }
 
-func two(slots int) []Slot {
-	return []Slot{{Target: "a", Slots: slots, DataCentre: "dc1"}, {Target: "b", Slots: slots, DataCentre: "dc2"}}
+func two(slots int) []Target {
+	return []Target{{ID: "a", Slots: slots, DataCentre: "dc1"}, {ID: "b", Slots: slots, DataCentre: "dc2"}}
 }
 
 // ask enters a request and returns it with its permit, if it got one at once.
@@ -70,7 +70,7 @@
 	})
 
 	g.It("hands a free slot to the more urgent request first", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		_, first, _ := f.ask(nil)
 		low, _, err := f.ask(func(a *Ask) { a.Priority = 2 })
 		Expect(err).NotTo(HaveOccurred())
@@ -85,7 +85,7 @@
 	// Sequence: requests queue until their deadline; each served one has waited too long.
 	// Cause: a queue as long as the deadline allows.
 	g.It("refuses at once what would be late, with the time until there is room", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		var refused *RefusedError
 		for range 20 {
 			if _, _, err := f.ask(nil); err != nil {
@@ -98,7 +98,7 @@
 	})
 
 	g.It("queues one that came back up to its deadline", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		for range 20 {
 			f.ask(nil)
 		}
@@ -107,7 +107,7 @@
 	})
 
 	g.It("gives up a request whose time has become too short", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
 		w, _, err := f.ask(func(a *Ask) { a.Left = 300 * time.Millisecond; a.AimLeft = 300 * time.Millisecond })
 		Expect(err).NotTo(HaveOccurred())
@@ -122,7 +122,7 @@
 	// Sequence: a lookup is queued for its turn; more urgent requests come one after the other.
 	// Cause: the queue was looked at again only when the lookup's own time was over.
 	g.It("gives up early what more urgent requests have pushed too far back", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
 		low, _, err := f.ask(func(a *Ask) { a.Priority = 2 })
 		Expect(err).NotTo(HaveOccurred())
@@ -164,7 +164,7 @@
 			f.now = f.now.Add(100 * time.Millisecond)
 			f.served(p, 100*time.Millisecond)
 		}
-		f.setSlots(append(two(4), Slot{Target: "c", Slots: 4}), f.now)
+		f.setSlots(append(two(4), Target{ID: "c", Slots: 4}), f.now)
 		used := map[string]int{}
 		for range 4 {
 			_, p, _ := f.ask(nil)
@@ -217,7 +217,7 @@
 	// Symptom: a target's slots shrink until it gets nothing.
 	// Sequence: instances that hold permits are killed. Cause: nobody gives them back.
 	g.It("takes permits back after their deadline", func() {
-		f := newFixture(Slot{Target: "a", Slots: 1})
+		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
 		f.now = f.now.Add(2*time.Second + overtime)
 		f.reclaim(f.now)
@@ -244,7 +244,7 @@
 
 var _ = g.Describe("a keeper", func() {
 	g.It("gives the slot of a caller that has gone to the next one", func() {
-		k := NewKeeper(clock.System{}, func(PoolID) []Slot { return []Slot{{Target: "a", Slots: 1}} })
+		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ask := func(id string) Ask {
 			return Ask{ID: id, Service: "s", Rule: "r", AimLeft: time.Second, Left: 2 * time.Second}
 		}
@@ -262,9 +262,9 @@
 })
 
 var _ = g.Describe("groups", func() {
-	many := func(count int) (list []Slot) {
+	many := func(count int) (list []Target) {
 		for i := range count {
-			list = append(list, Slot{Target: fmt.Sprint("t", i), DataCentre: fmt.Sprint("dc", i%5), Slots: 2})
+			list = append(list, Target{ID: fmt.Sprint("t", i), DataCentre: fmt.Sprint("dc", i%5), Slots: 2})
 		}
 		return list
 	}
@@ -291,25 +291,25 @@
 	g.It("are asked at home first, and not while they are known to be full", func() {
 		groups := Groups(many(74))
 		c := NewChooser(clock.System{}, "dc3")
-		Expect(c.Order("s", groups, abroad)[0].DataCentre).To(Equal("dc3"))
+		Expect(c.Candidates("s", groups, abroad)[0].DataCentre).To(Equal("dc3"))
 		for _, group := range groups {
 			if group.DataCentre == "dc3" {
-				c.Told("s", group.Name, time.Second)
+				c.RecordWait("s", group.Name, time.Second)
 			}
 		}
-		for _, group := range c.Order("s", groups, abroad) {
+		for _, group := range c.Candidates("s", groups, abroad) {
 			Expect(group.DataCentre).NotTo(Equal("dc3"))
 		}
 		for _, group := range groups {
-			c.Told("s", group.Name, time.Second)
+			c.RecordWait("s", group.Name, time.Second)
 		}
-		Expect(c.Order("s", groups, abroad)).To(BeEmpty())
-		c.Told("s", groups[2].Name, 100*time.Millisecond)
-		Expect(c.Shortest("s", groups, abroad).Name).To(Equal(groups[2].Name))
+		Expect(c.Candidates("s", groups, abroad)).To(BeEmpty())
+		c.RecordWait("s", groups[2].Name, 100*time.Millisecond)
+		Expect(c.ShortestWait("s", groups, abroad).Name).To(Equal(groups[2].Name))
 	})
 
 	g.It("do not queue an ask for a free slot", func() {
-		k := NewKeeper(clock.System{}, func(PoolID) []Slot { return []Slot{{Target: "a", Slots: 1}} })
+		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ask := func(id string) Ask {
 			return Ask{ID: id, Service: "s", Rule: "r", AimLeft: time.Second, Left: 2 * time.Second, NoQueue: true}
 		}
@@ -323,7 +323,7 @@
 // BenchmarkAcquire measures a permit and its return, with a queue of none.
 func BenchmarkAcquire(b *testing.B) {
 	slots := two(6)
-	k := NewKeeper(clock.System{}, func(PoolID) []Slot { return slots })
+	k := NewKeeper(clock.System{}, func(PoolID) []Target { return slots })
 	b.ReportAllocs()
 	for b.Loop() {
 		p, err := k.Acquire(context.Background(), Ask{ID: "x", Service: "s", Rule: "r", AimLeft: time.Second, Left: time.Second})
@@ -338,7 +338,7 @@
 	// Symptom: an instance without a request uses a tenth of the processor time of a busy one. Cause:
 	// its keepers looked at their queues 100 times a second, whether there were any or not.
 	g.It("does nothing while no slot is in use, and looks again when one is", func() {
-		k := NewKeeper(clock.System{}, func(PoolID) []Slot { return []Slot{{Target: "a", Slots: 1}} })
+		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go k.Run(ctx)
--- a/coordination/permit/play_test.go
+++ b/coordination/permit/play_test.go
@@ -18,7 +18,7 @@
 	// perSecond is how many requests come a second.
 	perSecond float64
 	seconds   int
-	slots     []Slot
+	slots     []Target
 	// tells says that the targets tell their pace.
 	tells bool
 }
@@ -97,9 +97,9 @@
 
 func (r *runner) disturb() {
 	for _, s := range r.play.slots {
-		r.slow[s.Target] = 1
+		r.slow[s.ID] = 1
 		if r.random.Float64() < disturbedShare {
-			r.slow[s.Target] = disturbedBy
+			r.slow[s.ID] = disturbedBy
 		}
 	}
 }
--- a/coordination/permit/pool.go
+++ b/coordination/permit/pool.go
@@ -24,7 +24,7 @@
 
 // slot is a target as its pool knows it.
 type slot struct {
-	Slot
+	Target
 	pace
 	inUse      int
 	failures   float64
@@ -67,18 +67,18 @@
 }
 
 // setSlots takes the targets that are there now.
-func (p *pool) setSlots(list []Slot, now clock.Instant) {
+func (p *pool) setSlots(list []Target, now clock.Instant) {
 	for _, s := range p.slots {
 		s.listed = false
 	}
 	p.order = p.order[:0]
 	for _, given := range list {
-		s := p.slots[given.Target]
+		s := p.slots[given.ID]
 		if s == nil {
 			s = &slot{pace: newPace(), asideUntil: clock.Never, usedAt: clock.Never, allowance: allowance{heardAt: clock.Never}}
-			p.slots[given.Target] = s
+			p.slots[given.ID] = s
 		}
-		s.Slot = given
+		s.Target = given
 		s.listed = true
 		s.noteCold(now)
 		p.order = append(p.order, s)
@@ -130,7 +130,7 @@
 	bestTime := time.Duration(0)
 	measured := slices.ContainsFunc(p.order, func(s *slot) bool { return s.measuredAt != clock.Never })
 	for _, s := range p.order {
-		if s.inUse >= s.Slots || now < s.asideUntil || s.awaitsTurn(now) || slices.Contains(w.ask.Exclude, s.Target) {
+		if s.inUse >= s.Slots || now < s.asideUntil || s.awaitsTurn(now) || slices.Contains(w.ask.Exclude, s.ID) {
 			continue
 		}
 		if s.measuredAt == clock.Never && s.inUse > 0 && measured {
@@ -197,7 +197,7 @@
 // serves reports whether there is a target that a request is not to avoid. One without would wait in the
 // queue until its time is over.
 func (p *pool) serves(w *waiter) bool {
-	return slices.ContainsFunc(p.order, func(s *slot) bool { return !slices.Contains(w.ask.Exclude, s.Target) })
+	return slices.ContainsFunc(p.order, func(s *slot) bool { return !slices.Contains(w.ask.Exclude, s.ID) })
 }
 
 // worthUntil is until when a request must have a slot to be queued. While there is more work than slots,
@@ -228,10 +228,10 @@
 	s.usedAt = now
 	s.took(now)
 	p.uses[w.ask.ID] = use{
-		target: s.Target, rule: w.ask.Rule, begun: now, deadline: w.deadline,
+		target: s.ID, rule: w.ask.Rule, begun: now, deadline: w.deadline,
 		expected: w.expected, slowness: s.believedSlowness(now), suspect: w.ask.Suspect,
 	}
-	return Permit{ID: w.ask.ID, Target: s.Target, Waited: now.Sub(w.arrived)}
+	return Permit{ID: w.ask.ID, Target: s.ID, Waited: now.Sub(w.arrived)}
 }
 
 // serve hands free slots to the queue, and refuses what will not be served in time any more:
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -109,9 +109,9 @@
 	ReasonLate = "late"
 )
 
-// Slot is a target whose slots a pool hands out.
-type Slot struct {
-	Target     string
+// Target is a target whose slots a pool hands out.
+type Target struct {
+	ID         string
 	DataCentre string
 	Slots      int
 	// ColdUntil is until when the target is cold.
@@ -121,7 +121,7 @@
 }
 
 // Cold reports whether the target bears no more than its cold rate now.
-func (s Slot) Cold(now clock.Instant) bool { return s.ColdRate > 0 && now < s.ColdUntil }
+func (s Target) Cold(now clock.Instant) bool { return s.ColdRate > 0 && now < s.ColdUntil }
 
 // waiter is an ask in the queue.
 type waiter struct {
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -28,19 +28,19 @@
 
 // Identity says who asks for what.
 type Identity struct {
-	Content Fingerprint
+	Fingerprint Fingerprint
 	// Caller stands for the address that the request comes from.
 	Caller uint64
 }
 
-// IdentityOf returns the identity of a request with a body that has been read.
-func IdentityOf(r *http.Request, body []byte) Identity {
+// IdentifyRequest returns the identity of a request with a body that has been read.
+func IdentifyRequest(r *http.Request, body []byte) Identity {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.RequestURI} {
 		writePart(h, []byte(part))
 	}
 	writePart(h, body)
-	return Identity{Content: Fingerprint(h.Sum64()), Caller: xxhash.Sum64String(CallerOf(r))}
+	return Identity{Fingerprint: Fingerprint(h.Sum64()), Caller: xxhash.Sum64String(CallerAddress(r))}
 }
 
 // writePart adds a part with its length, so that no two lists of parts look alike.
@@ -52,9 +52,9 @@
 	_, _ = h.Write(part)
 }
 
-// CallerOf returns the address from which a request comes, without the port, which changes from one
+// CallerAddress returns the address from which a request comes, without the port, which changes from one
 // connection to the next.
-func CallerOf(r *http.Request) string {
+func CallerAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -51,7 +51,7 @@
 
 // Quarantined reports whether a request is to reach no target, and for how long.
 func (r *Registry) Quarantined(id Identity) (left time.Duration, quarantined bool) {
-	e, known := (*r.table.Load())[id.Content]
+	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known || !e.quarantined(id.Caller) {
 		return 0, false
 	}
@@ -62,22 +62,22 @@
 // Suspected reports whether a target has ended under a request, of whichever caller, since it was last
 // answered.
 func (r *Registry) Suspected(id Identity) bool {
-	e := (*r.table.Load())[id.Content]
+	e := (*r.table.Load())[id.Fingerprint]
 	return len(e.after(e.answeredAt(func(Answer) bool { return true }))) > 0
 }
 
-// Crashed notes that a life of a target ended while it ran a request. It reports whether the request
+// RecordCrash notes that a life of a target ended while it ran a request. It reports whether the request
 // is quarantined now.
-func (r *Registry) Crashed(id Identity, target string) bool {
+func (r *Registry) RecordCrash(id Identity, target string) bool {
 	crash := Crash{Target: xxhash.Sum64String(target), Caller: id.Caller, At: r.now().UnixMilli()}
-	r.Merge(Table{id.Content: {Crashes: []Crash{crash}}})
+	r.Merge(Table{id.Fingerprint: {Crashes: []Crash{crash}}})
 	_, quarantined := r.Quarantined(id)
 	return quarantined
 }
 
-// Answered notes that a target has answered a request.
-func (r *Registry) Answered(id Identity) {
-	e, known := (*r.table.Load())[id.Content]
+// RecordAnswer notes that a target has answered a request.
+func (r *Registry) RecordAnswer(id Identity) {
+	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	// Clocks differ between instances: the answer came after whatever is known.
 	at := max(r.now().UnixMilli(), e.crashedAt())
-	r.Merge(Table{id.Content: {Answers: []Answer{{Caller: caller, At: at}}}})
+	r.Merge(Table{id.Fingerprint: {Answers: []Answer{{Caller: caller, At: at}}}})
 }
 
 // Merge takes over what this instance has seen, or another one has reported to it.
@@ -115,27 +115,27 @@
 	}
 }
 
-// Notice describes a request that is quarantined.
-type Notice struct {
-	Content Fingerprint
+// QuarantinedRequest describes a request that is quarantined.
+type QuarantinedRequest struct {
+	Fingerprint Fingerprint
 	// Targets is the number of targets that ended, as far as they are kept, Callers that of callers.
 	Targets, Callers int
 	LastCrash, Until time.Time
 }
 
 // List returns the requests that are quarantined, for one caller or for all, sorted by fingerprint.
-func (r *Registry) List() []Notice {
+func (r *Registry) List() []QuarantinedRequest {
 	now := r.now()
-	var list []Notice
+	var list []QuarantinedRequest
 	for f, e := range *r.table.Load() {
 		if e.quarantinedForAny() && !e.forgotten(now) {
-			list = append(list, Notice{
-				Content: f, Targets: distinct(e.Crashes, Crash.target), Callers: distinct(e.Crashes, Crash.caller),
+			list = append(list, QuarantinedRequest{
+				Fingerprint: f, Targets: distinct(e.Crashes, Crash.target), Callers: distinct(e.Crashes, Crash.caller),
 				LastCrash: time.UnixMilli(e.crashedAt()), Until: e.until(),
 			})
 		}
 	}
-	slices.SortFunc(list, func(a, b Notice) int { return cmp.Compare(a.Content, b.Content) })
+	slices.SortFunc(list, func(a, b QuarantinedRequest) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return list
 }
 
@@ -175,8 +175,8 @@
 	return Table{}.merged(r.unreported, r.now())
 }
 
-// Reported notes that another instance, which passes it on, has got what Unreported returned.
-func (r *Registry) Reported(t Table) {
+// MarkReported notes that another instance, which passes it on, has got what Unreported returned.
+func (r *Registry) MarkReported(t Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for f, e := range t {
@@ -193,8 +193,8 @@
 	return r.version
 }
 
-// News returns what is known here, if its version is newer than the given one.
-func (r *Registry) News(since Version) (Table, Version) {
+// UpdateSince returns what is known here, if its version is newer than the given one.
+func (r *Registry) UpdateSince(since Version) (Table, Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.version.After(since) {
@@ -219,8 +219,8 @@
 	r.replace(before.merged(t, r.now()))
 }
 
-// Lead makes this instance the one that tells all others, in its term.
-func (r *Registry) Lead(term uint64) {
+// StartLeading makes this instance the one that tells all others, in its term.
+func (r *Registry) StartLeading(term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leading = term
@@ -228,26 +228,26 @@
 	clear(r.unreported)
 }
 
-// Follow ends that.
-func (r *Registry) Follow() {
+// StopLeading ends that.
+func (r *Registry) StopLeading() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leading = 0
 }
 
-// TakeStored takes over the content of the row in the store.
-func (r *Registry) TakeStored(text []byte) error {
+// LoadStored takes over the content of the row in the store.
+func (r *Registry) LoadStored(text []byte) error {
 	t, err := Decode(text)
 	if err != nil {
 		return err
 	}
 	r.Merge(t)
-	r.Stored(text)
+	r.MarkStored(text)
 	return nil
 }
 
-// ToStore returns what the row in the store should hold, nil if it does so.
-func (r *Registry) ToStore() ([]byte, error) {
+// PendingWrite returns what the row in the store should hold, nil if it does so.
+func (r *Registry) PendingWrite() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := *r.table.Load()
@@ -264,8 +264,8 @@
 	return text, nil
 }
 
-// Stored notes the content of the row in the store.
-func (r *Registry) Stored(text []byte) {
+// MarkStored notes the content of the row in the store.
+func (r *Registry) MarkStored(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stored = text
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// Limit is the number of targets that end under a request before it is quarantined. One may end
+	// CrashLimit is the number of targets that end under a request before it is quarantined. One may end
 	// for any other reason.
-	Limit = 2
+	CrashLimit = 2
 	// quarantineFor is how long a quarantine lasts after the last crash.
 	quarantineFor = 24 * time.Hour
 	// suspectFor is how long a request with fewer crashes is remembered after the last one.
@@ -63,11 +63,11 @@
 func (e Entry) quarantined(caller uint64) bool {
 	own := e.after(e.answeredAt(func(a Answer) bool { return a.Caller == caller }))
 	own = slices.DeleteFunc(own, func(c Crash) bool { return c.Caller != caller })
-	if distinct(own, Crash.target) >= Limit {
+	if distinct(own, Crash.target) >= CrashLimit {
 		return true
 	}
 	all := e.after(e.answeredAt(func(Answer) bool { return true }))
-	return distinct(all, Crash.target) >= Limit && distinct(all, Crash.caller) >= Limit
+	return distinct(all, Crash.target) >= CrashLimit && distinct(all, Crash.caller) >= CrashLimit
 }
 
 func (c Crash) target() uint64 { return c.Target }
--- a/coordination/standing/standing.go
+++ b/coordination/standing/standing.go
@@ -65,9 +65,9 @@
 	return &Registry{clock: c, drain: drain, said: map[string]said{}, reported: map[string]clock.Instant{}}
 }
 
-// Heard notes what a target has said with an answer: that it leaves, and for how long it wants nothing,
+// RecordStatus notes what a target has said with an answer: that it leaves, and for how long it wants nothing,
 // 0 for neither. It reports whether it said for the first time that it leaves.
-func (r *Registry) Heard(target string, leaving bool, pause time.Duration) (first bool) {
+func (r *Registry) RecordStatus(target string, leaving bool, pause time.Duration) (first bool) {
 	if !leaving && pause <= 0 {
 		return false
 	}
@@ -95,9 +95,9 @@
 	return said{leavingAt: clock.Never, pausedUntil: clock.Never, limitAt: clock.Never}
 }
 
-// HeardLimit notes how many requests a second a target takes from all instances together, 0: it names no
+// RecordLimit notes how many requests a second a target takes from all instances together, 0: it names no
 // limit. It returns what it named before.
-func (r *Registry) HeardLimit(target string, perSecond float64) (before float64) {
+func (r *Registry) RecordLimit(target string, perSecond float64) (before float64) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,16 +141,16 @@
 	return r.said[target].limit > 0
 }
 
-// Left reports whether a target said so long ago that it leaves that nothing may be sent to it.
-func (r *Registry) Left(target string) bool {
+// HasLeft reports whether a target said so long ago that it leaves that nothing may be sent to it.
+func (r *Registry) HasLeft(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.said[target]
 	return known && s.leavingAt != clock.Never && r.clock.Now().Sub(s.leavingAt) >= r.drain-leaveEarly
 }
 
-// Pause returns for how much longer a target wants nothing.
-func (r *Registry) Pause(target string) time.Duration {
+// RemainingPause returns for how much longer a target wants nothing.
+func (r *Registry) RemainingPause(target string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.said[target]
@@ -160,9 +160,9 @@
 	return max(0, s.pausedUntil.Sub(r.clock.Now()))
 }
 
-// Avoid returns the targets that leave or want nothing now. Where others do as well, nothing is sent to
+// TargetsToAvoid returns the targets that leave or want nothing now. Where others do as well, nothing is sent to
 // them.
-func (r *Registry) Avoid() []string {
+func (r *Registry) TargetsToAvoid() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -175,8 +175,8 @@
 	return list
 }
 
-// Report notes the targets that have told another instance that they leave.
-func (r *Registry) Report(targets []string) {
+// RecordReported notes the targets that have told another instance that they leave.
+func (r *Registry) RecordReported(targets []string) {
 	if len(targets) == 0 {
 		return
 	}
@@ -213,8 +213,8 @@
 	return slices.Compact(list)
 }
 
-// Forget drops what was said long ago by targets that are not listed any more.
-func (r *Registry) Forget(listed func(target string) bool) {
+// Prune drops what was said long ago by targets that are not listed any more.
+func (r *Registry) Prune(listed func(target string) bool) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/instance/broker.go
+++ b/instance/broker.go
@@ -72,7 +72,7 @@
 }
 
 // slots lists the targets of a pool.
-func (b *broker) slots(id permit.PoolID) []permit.Slot {
+func (b *broker) slots(id permit.PoolID) []permit.Target {
 	s := b.board.Load()
 	if id.Target != "" {
 		// An instance that is short of processor time may not have heard yet that a target
@@ -81,7 +81,7 @@
 		if !known || s.Excluded(t, b.clock.Now()) {
 			return nil
 		}
-		return []permit.Slot{slotOf(s, t)}
+		return []permit.Target{slotOf(s, t)}
 	}
 	return b.grouped(s, id.Service).slots[id.Group]
 }
@@ -91,7 +91,7 @@
 	// of is the snapshot that it was made of.
 	of     *view.Snapshot
 	groups []permit.Group
-	slots  map[string][]permit.Slot
+	slots  map[string][]permit.Target
 }
 
 // grouped returns the groups of a service's targets that may be used.
@@ -102,13 +102,13 @@
 		g.of.ColdRate(service) == s.ColdRate(service) {
 		return g
 	}
-	var list []permit.Slot
+	var list []permit.Target
 	for _, t := range s.ByService[service] {
 		if s.AcceptsNewWork(t) {
 			list = append(list, slotOf(s, t))
 		}
 	}
-	g := &grouping{of: s, groups: permit.Groups(list), slots: map[string][]permit.Slot{}}
+	g := &grouping{of: s, groups: permit.Groups(list), slots: map[string][]permit.Target{}}
 	for _, slot := range list {
 		name := permit.GroupOf(slot, list)
 		g.slots[name] = append(g.slots[name], slot)
@@ -117,16 +117,16 @@
 	return g
 }
 
-func slotOf(s *view.Snapshot, t view.Target) permit.Slot {
-	return permit.Slot{Target: t.ID, DataCentre: t.DataCentre, Slots: t.Slots, ColdUntil: s.ColdUntil(t), ColdRate: s.ColdRate(t.Service)}
+func slotOf(s *view.Snapshot, t view.Target) permit.Target {
+	return permit.Target{ID: t.ID, DataCentre: t.DataCentre, Slots: t.Slots, ColdUntil: s.ColdUntil(t), ColdRate: s.ColdRate(t.Service)}
 }
 
 // spareSlots lists the targets of a pool with this instance's even share of their slots. Those that are
 // cold, or name a limit for all instances together, are left out: nobody would bound what all send to them.
-func (b *broker) spareSlots(id permit.PoolID) []permit.Slot {
+func (b *broker) spareSlots(id permit.PoolID) []permit.Target {
 	instances := len(b.board.Load().Instances)
 	now := b.clock.Now()
-	list := slices.DeleteFunc(slices.Clone(b.slots(id)), func(s permit.Slot) bool { return s.Cold(now) || b.limited(s.Target) })
+	list := slices.DeleteFunc(slices.Clone(b.slots(id)), func(s permit.Target) bool { return s.Cold(now) || b.limited(s.ID) })
 	for i := range list {
 		if instances == 0 {
 			list[i].Slots = 1
@@ -181,7 +181,7 @@
 	if len(groups) < 2 {
 		return b.acquire(ctx, ask, "")
 	}
-	for _, g := range b.chooser.Order(ask.Service, groups, ask.Abroad) {
+	for _, g := range b.chooser.Candidates(ask.Service, groups, ask.Abroad) {
 		ask.Group = g.Name
 		ask.NoQueue = true
 		p, err := b.acquire(ctx, ask, g.DataCentre)
@@ -189,9 +189,9 @@
 		if !errors.As(err, &refused) {
 			return p, err
 		}
-		b.chooser.Told(ask.Service, g.Name, refused.RetryAfter)
+		b.chooser.RecordWait(ask.Service, g.Name, refused.RetryAfter)
 	}
-	g := b.chooser.Shortest(ask.Service, groups, ask.Abroad)
+	g := b.chooser.ShortestWait(ask.Service, groups, ask.Abroad)
 	ask.Group = g.Name
 	ask.NoQueue = false
 	p, err := b.acquire(ctx, ask, g.DataCentre)
@@ -204,9 +204,9 @@
 	var refused *permit.RefusedError
 	switch {
 	case err == nil:
-		b.chooser.Told(ask.Service, ask.Group, p.Waited)
+		b.chooser.RecordWait(ask.Service, ask.Group, p.Waited)
 	case errors.As(err, &refused):
-		b.chooser.Told(ask.Service, ask.Group, refused.RetryAfter)
+		b.chooser.RecordWait(ask.Service, ask.Group, refused.RetryAfter)
 	}
 }
 
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -234,7 +234,7 @@
 			targets := i.board.Load().Targets
 			listed := func(id string) bool { _, known := targets[id]; return known }
 			i.pool.Sweep(listed)
-			i.standing.Forget(listed)
+			i.standing.Prune(listed)
 		case <-ctx.Done():
 			return
 		}
--- a/instance/operate.go
+++ b/instance/operate.go
@@ -280,7 +280,7 @@
 }
 
 // Quarantine implements admin.Backend.
-func (o operators) Quarantine() []quarantine.Notice { return o.quarantine.List() }
+func (o operators) Quarantine() []quarantine.QuarantinedRequest { return o.quarantine.List() }
 
 // Release implements admin.Backend.
 func (o operators) Release(f quarantine.Fingerprint) bool {
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -41,7 +41,7 @@
 	Evacuate(ctx context.Context, dataCentre string, inForce bool) error
 	// Quarantine lists the requests that are to reach no target; Release lets one in again, and reports
 	// whether it was there.
-	Quarantine() []quarantine.Notice
+	Quarantine() []quarantine.QuarantinedRequest
 	Release(f quarantine.Fingerprint) bool
 }
 
@@ -304,7 +304,7 @@
 func (h *handler) quarantine(w http.ResponseWriter, _ *http.Request) {
 	list := []Quarantined{}
 	for _, n := range h.b.Quarantine() {
-		list = append(list, Quarantined{Fingerprint: n.Content.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
+		list = append(list, Quarantined{Fingerprint: n.Fingerprint.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
 	}
 	writeJSON(w, http.StatusOK, list)
 }
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -104,7 +104,7 @@
 	defer leave()
 	c.h.budget.Request(c.service.Name)
 	if c.keyed {
-		c.h.collector.Arrived(c.service.Name, c.decision.Rule.Name, c.key)
+		c.h.collector.RecordArrival(c.service.Name, c.decision.Rule.Name, c.key)
 	}
 	res := c.run(ctx)
 	c.noteCrashes(res)
@@ -239,7 +239,7 @@
 		if r.Lost || r.Owner == "" {
 			return "", notRun("owner-lost", lostRetry), false
 		}
-		expected := c.h.collector.Expected(c.decision.Rule.Name)
+		expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
 		if time.Until(c.deadline) < expected || c.moved > moveWait {
 			return "", notRun("moving", lostRetry/2), false
 		}
@@ -271,7 +271,7 @@
 		AimLeft:   time.Duration(c.then.Aim) - c.elapsed - time.Since(c.start),
 		Left:      time.Until(c.deadline),
 		Returning: c.returning, DataCentre: c.h.config.DataCentre,
-		Abroad: permit.AbroadCost(c.h.collector.Size(c.decision.Rule.Name)),
+		Abroad: permit.CrossDataCentreCost(c.h.collector.MeanAnswerSize(c.decision.Rule.Name)),
 	}
 	if target == "" {
 		ask.Exclude = c.avoided()
--- a/transport/front/crash.go
+++ b/transport/front/crash.go
@@ -10,7 +10,7 @@
 // identify returns who asks for what.
 func (c *call) identify() quarantine.Identity {
 	if c.identity == nil {
-		id := quarantine.IdentityOf(c.r, c.body)
+		id := quarantine.IdentifyRequest(c.r, c.body)
 		c.identity = &id
 	}
 	return *c.identity
@@ -38,7 +38,7 @@
 	if len(c.crashed) == 0 && (registry.Empty() || !registry.Suspected(c.identify())) {
 		return 0
 	}
-	return uint64(c.identify().Content)
+	return uint64(c.identify().Fingerprint)
 }
 
 // ended notes that a target has ended while it had the request.
@@ -46,8 +46,8 @@
 	targetsEnded.Inc()
 	c.crashed = append(c.crashed, t.ID)
 	c.h.log("target-ended", "request", c.id, "target", t.ID, "service", c.service.Name, "rule", c.decision.Rule.Name,
-		"took_ms", took.Milliseconds(), "fingerprint", c.identify().Content.String(),
-		"method", c.r.Method, "uri", c.r.RequestURI, "caller", quarantine.CallerOf(c.r), "body_bytes", len(c.body))
+		"took_ms", took.Milliseconds(), "fingerprint", c.identify().Fingerprint.String(),
+		"method", c.r.Method, "uri", c.r.RequestURI, "caller", quarantine.CallerAddress(c.r), "body_bytes", len(c.body))
 }
 
 // noteCrashes tells the registry under what the targets of this call have ended. A request that was
@@ -56,13 +56,13 @@
 	registry := c.h.config.Quarantine
 	if res.answer != nil {
 		if !registry.Empty() {
-			registry.Answered(c.identify())
+			registry.RecordAnswer(c.identify())
 		}
 		return
 	}
 	for _, target := range c.crashed {
-		if registry.Crashed(c.identify(), target) {
-			c.h.log("quarantined", "request", c.id, "fingerprint", c.identify().Content.String(), "caller", quarantine.CallerOf(c.r), "target", target)
+		if registry.RecordCrash(c.identify(), target) {
+			c.h.log("quarantined", "request", c.id, "fingerprint", c.identify().Fingerprint.String(), "caller", quarantine.CallerAddress(c.r), "target", target)
 		}
 	}
 }
--- a/transport/front/crash_test.go
+++ b/transport/front/crash_test.go
@@ -17,9 +17,9 @@
 
 // learn makes the instance learn from others that two targets have ended under a look-up.
 func (f *fixture) learn(path string) {
-	id := quarantine.IdentityOf(httptest.NewRequest("GET", path, nil), nil)
-	f.h.config.Quarantine.Crashed(id, "other-1")
-	f.h.config.Quarantine.Crashed(id, "other-2")
+	id := quarantine.IdentifyRequest(httptest.NewRequest("GET", path, nil), nil)
+	f.h.config.Quarantine.RecordCrash(id, "other-1")
+	f.h.config.Quarantine.RecordCrash(id, "other-2")
 }
 
 // A request that crashes targets must reach none by any way that a request can take to one.
--- a/transport/front/standing.go
+++ b/transport/front/standing.go
@@ -29,7 +29,7 @@
 
 // heard notes what a target said of itself.
 func (c *call) heard(t view.Target, w upstream.Word) {
-	if c.h.config.Standing.Heard(t.ID, w.Leaving, w.Pause) {
+	if c.h.config.Standing.RecordStatus(t.ID, w.Leaving, w.Pause) {
 		c.h.log("target-leaves", "target", t.ID, "service", c.service.Name, "request", c.id, "listed_as_draining", t.Draining)
 	}
 	if w.Heard {
@@ -42,7 +42,7 @@
 
 // heardLimit notes how many requests a second a target takes from all instances together.
 func (c *call) heardLimit(t view.Target, perSecond float64) {
-	before := c.h.config.Standing.HeardLimit(t.ID, perSecond)
+	before := c.h.config.Standing.RecordLimit(t.ID, perSecond)
 	if before != perSecond {
 		c.h.log("target-limit", "target", t.ID, "service", c.service.Name, "request", c.id, "per_second", perSecond, "before", before)
 	}
@@ -63,20 +63,20 @@
 // mayGet reports whether anything may be sent to a target now. It is asked for the owner of a key, and
 // again for whoever has been found, since the request may have waited for a slot meanwhile.
 func (c *call) mayGet(t view.Target) bool {
-	return !c.hasLeft(t) && c.h.config.Standing.Pause(t.ID) == 0
+	return !c.hasLeft(t) && c.h.config.Standing.RemainingPause(t.ID) == 0
 }
 
 // hasLeft reports whether a target has been about to leave for so long that nothing may be sent to it.
 // The registry and the operators tell so, and the target itself in its answers: while the store is away,
 // only the last is heard.
 func (c *call) hasLeft(t view.Target) bool {
-	return c.h.board.Load().Excluded(t, c.h.clock.Now()) || c.h.config.Standing.Left(t.ID)
+	return c.h.board.Load().Excluded(t, c.h.clock.Now()) || c.h.config.Standing.HasLeft(t.ID)
 }
 
 // awaitPause waits for the end of a short pause that the owner of a key wants. Through a longer one the
 // request is not held: its caller is told when it is over.
 func (c *call) awaitPause(ctx context.Context, owner string) (result, bool) {
-	pause := c.h.config.Standing.Pause(owner)
+	pause := c.h.config.Standing.RemainingPause(owner)
 	if pause > lookAgain {
 		return notRun("target-paused", pause), false
 	}
@@ -96,7 +96,7 @@
 // avoided returns the targets of the service that want no new work, and those that have had the request.
 func (c *call) avoided() []string {
 	list := slices.Clone(c.targets)
-	for _, id := range c.h.config.Standing.Avoid() {
+	for _, id := range c.h.config.Standing.TargetsToAvoid() {
 		if t, known := c.snapshot.Targets[id]; known && t.Service == c.service.Name {
 			list = append(list, id)
 		}
--- a/transport/front/standing_test.go
+++ b/transport/front/standing_test.go
@@ -86,7 +86,7 @@
 		f := newFixture()
 		f.up.next = play{says(upstream.Word{Leaving: true})}
 		f.do("POST", "/k/a")
-		f.h.config.Standing.Forget(func(string) bool { return false })
+		f.h.config.Standing.Prune(func(string) bool { return false })
 		f.later(drainTime)
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 	})
@@ -138,7 +138,7 @@
 
 	It("gets nothing that waited for a slot meanwhile", func() {
 		f := newFixture()
-		f.permits.before = func() { f.h.config.Standing.Heard("k1", false, 3*time.Second) }
+		f.permits.before = func() { f.h.config.Standing.RecordStatus("k1", false, 3*time.Second) }
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 		Expect(f.up.tries).To(BeEmpty())
 		Expect(f.permits.reports[0].Result).To(Equal(permit.Dropped))
--- a/transport/front/try.go
+++ b/transport/front/try.go
@@ -49,7 +49,7 @@
 	report.Heard, report.Limit = word.Heard, word.Limit
 	c.h.permits.Release(report)
 	if err == nil && answer.Status < http.StatusInternalServerError {
-		c.h.collector.Answered(t.ID, c.decision.Rule.Name, demand.Answer{Took: took, Size: len(answer.Body), Slowness: word.Slowness, Limit: word.Limit})
+		c.h.collector.RecordAnswer(t.ID, c.decision.Rule.Name, demand.Answer{Took: took, Size: len(answer.Body), Slowness: word.Slowness, Limit: word.Limit})
 	}
 	return c.judge(ctx, wait, answer, err)
 }
@@ -146,8 +146,8 @@
 // mayRepeat reports whether the request may be sent once more: within the rule's attempts,
 // the time left, and the budget that all instances share.
 func (c *call) mayRepeat(ctx context.Context) bool {
-	expected := c.h.collector.Expected(c.decision.Rule.Name)
-	if len(c.targets) >= c.then.MaxAttempts || len(c.crashed) >= quarantine.Limit || time.Until(c.deadline) < expected || ctx.Err() != nil {
+	expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
+	if len(c.targets) >= c.then.MaxAttempts || len(c.crashed) >= quarantine.CrashLimit || time.Until(c.deadline) < expected || ctx.Err() != nil {
 		return false
 	}
 	return c.h.budget.Repeat(c.service.Name, len(c.snapshot.Instances), c.isLast(expected))
