--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -30,7 +30,7 @@
 // Orders carries orders to targets.
 type Orders interface {
 	Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant)
-	Forget(keep func(target string) bool)
+	RetainTargets(keep func(target string) bool)
 }
 
 // Config of a Coordinator.
@@ -45,8 +45,8 @@
 	// Quarantine is what this instance knows of requests under which targets have ended; nil: nothing
 	// that others of its process have to do with.
 	Quarantine *quarantine.Registry
-	// Standing is what targets have said of themselves to this instance; nil: nothing is heard here.
-	Standing *standing.Registry
+	// TargetStatus is what targets have said of themselves to this instance; nil: nothing is heard here.
+	TargetStatus *standing.Registry
 }
 
 // Rows of ours in the store. The lease and the maps share a part, so that each change of a
@@ -142,13 +142,13 @@
 	if config.Quarantine == nil {
 		config.Quarantine = quarantine.NewRegistry(time.Now)
 	}
-	if config.Standing == nil {
-		config.Standing = standing.NewRegistry(c, 0)
+	if config.TargetStatus == nil {
+		config.TargetStatus = standing.NewRegistry(c, 0)
 	}
 	return &Coordinator{
 		config: config, clock: c, store: s, board: board, peers: peers, orders: orders,
 		collector: collector, total: demand.NewAggregator(), log: log,
-		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, standing: config.Standing,
+		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, standing: config.TargetStatus,
 		wake: make(chan struct{}, 1), lastSync: clock.Never, storeOK: true,
 		leaderKnown: make(chan struct{}), heard: make(chan struct{}), lookedAt: clock.Never, answeredAt: clock.Never, started: c.Now(),
 		silent: map[string]clock.Instant{}, below: map[string]*downstream{}, leaderAnsweredAt: clock.Never, relaysAnsweredAt: clock.Never, refreshAt: clock.Never, outage: newOutage(), handedOver: clock.Never, mayRead: make(chan struct{}),
--- a/coordination/lead/evacuation_test.go
+++ b/coordination/lead/evacuation_test.go
@@ -36,7 +36,7 @@
 	BeforeEach(func() {
 		c := &stepClock{now: clock.Instant(time.Hour)}
 		s = &tableStore{rows: map[string]string{}}
-		source := Source{IsRules: func(store.Row) bool { return false }, Evacuates: evacuates}
+		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuates}
 		r = newReader(c, s, source, view.NewBoard(c), quiet)
 		s.put("other", "")
 	})
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -18,9 +18,9 @@
 	RulesTable  string
 	IsRules     func(store.Row) bool
 	DecodeRules func(value []byte) (version uint64, set *rules.Set, err error)
-	// Evacuates returns the data centre that a row of RulesTable asks to evacuate, as long as the row
+	// EvacuatedDataCentre returns the data centre that a row of RulesTable asks to evacuate, as long as the row
 	// is there; nil: no row does.
-	Evacuates func(store.Row) (dataCentre string, ok bool)
+	EvacuatedDataCentre func(store.Row) (dataCentre string, ok bool)
 
 	TargetTable  string
 	DecodeTarget func(store.Row) (view.Target, error)
@@ -113,7 +113,7 @@
 // adoptEvacuations takes over which data centres are evacuated after a reading of the table as a whole,
 // or of what has changed in it.
 func (r *reader) adoptEvacuations(rows []store.Row, version uint64, whole bool) {
-	if r.source.Evacuates == nil {
+	if r.source.EvacuatedDataCentre == nil {
 		return
 	}
 	evacuated := map[string]bool{}
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, row := range rows {
-		if dataCentre, ok := r.source.Evacuates(row); ok {
+		if dataCentre, ok := r.source.EvacuatedDataCentre(row); ok {
 			evacuated[dataCentre] = !row.Deleted
 		}
 	}
--- a/coordination/lead/returned_test.go
+++ b/coordination/lead/returned_test.go
@@ -147,7 +147,7 @@
 
 	It("has evacuations go on until it has all of them again", func() {
 		rows := &tableStore{rows: map[string]string{}, version: store.VersionOf(1, 5)}
-		source := Source{IsRules: func(store.Row) bool { return false }, Evacuates: evacuates}
+		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuates}
 		r := newReader(now, rows, source, view.NewBoard(now), quiet)
 		read := func() string {
 			_, err := r.readRules(context.Background(), 0)
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -228,7 +228,7 @@
 		m.SetLimits(limits)
 	}
 	targets := t.c.board.Load().Targets
-	t.c.orders.Forget(func(id string) bool { _, ok := targets[id]; return ok })
+	t.c.orders.RetainTargets(func(id string) bool { _, ok := targets[id]; return ok })
 }
 
 // send carries an order out beside the loop.
--- a/coordination/lead/vacate_test.go
+++ b/coordination/lead/vacate_test.go
@@ -39,7 +39,7 @@
 func (noOrders) Do(context.Context, assign.Order) (assign.Outcome, string, clock.Instant) {
 	return assign.NotSent, "", clock.Never
 }
-func (noOrders) Forget(func(string) bool) {}
+func (noOrders) RetainTargets(func(string) bool) {}
 
 var _ = Describe("a leading instance that the store does not answer", func() {
 	const held = 3
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -159,7 +159,7 @@
 		i.clock, i.self.ID, i.board, upstream.NewClient(i.pool, i.platform.Names), i.broker, collector, i.budget, i.log.Event)
 	orderClient := orders.NewClient(i.platform.Encoder, i.platform.Names, i.clock, func() bool { return i.coordinator.Leading() })
 	i.coordinator = lead.New(
-		lead.Config{Self: i.self, Source: i.platform.Source, Seeds: i.settings.Seeds, HoldMax: time.Duration(i.settings.HoldMax), Policy: balance, Quarantine: i.quarantine, Standing: i.standing},
+		lead.Config{Self: i.self, Source: i.platform.Source, Seeds: i.settings.Seeds, HoldMax: time.Duration(i.settings.HoldMax), Policy: balance, Quarantine: i.quarantine, TargetStatus: i.standing},
 		i.clock, i.platform.Store, i.board, &stampedPeers{i.peerClient, i.log}, orderClient, collector, i.log.Event)
 	i.callers = &http.Server{Handler: i.handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: MaxHeaderBytes}
 	ready := http.NewServeMux()
--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -341,8 +341,8 @@
 	t.idle = append(t.idle, cn)
 }
 
-// Forget closes the idle connections to targets that are not in the list.
-func (c *Client) Forget(keep func(target string) bool) {
+// RetainTargets closes the idle connections to targets that are not in the list.
+func (c *Client) RetainTargets(keep func(target string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for target, t := range c.targets {
