--- a/cmd/lycheehall/evacuate.go
+++ b/cmd/lycheehall/evacuate.go
@@ -4,7 +4,7 @@
 
 func runEvacuate(c *client, o *options) error {
 	var result admin.Result
-	if err := c.do("POST", "/v1/evacuations", admin.EvacuateRequest{DataCentre: o.dataCentre, Over: o.over}, &result); err != nil {
+	if err := c.do("POST", "/v1/evacuations", admin.EvacuateRequest{DataCentre: o.dataCentre, End: o.over}, &result); err != nil {
 		return err
 	}
 	if o.over {
--- a/cmd/lycheehall/quarantine.go
+++ b/cmd/lycheehall/quarantine.go
@@ -8,7 +8,7 @@
 )
 
 func runQuarantine(c *client, o *options) error {
-	var list []admin.Quarantined
+	var list []admin.QuarantinedRequest
 	if err := c.get("/v1/quarantine", &list); err != nil {
 		return err
 	}
--- a/cmd/lycheehalld/main.go
+++ b/cmd/lycheehalld/main.go
@@ -81,7 +81,7 @@
 // serve runs an instance on a platform.
 func serve(path string, s settings.Settings) int {
 	p := platform.New(s.Platform)
-	if s.Rules == settings.RulesOwn {
+	if s.Rules == settings.RulesFromStore {
 		p = platform.NewWithOwnRules(s.Platform)
 	}
 	i, err := instance.New(s, p, os.Stdout)
--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -24,7 +24,7 @@
 type Collector struct {
 	mu    sync.Mutex
 	work  map[workKey]float32
-	pace  map[string]*peerapi.Pace
+	pace  map[string]*peerapi.TargetStats
 	means map[string]time.Duration
 	// works are the mean times of each rule's requests at a target of usual pace.
 	works map[string]time.Duration
@@ -41,7 +41,7 @@
 
 // NewCollector returns an empty collector.
 func NewCollector() *Collector {
-	return &Collector{work: map[workKey]float32{}, pace: map[string]*peerapi.Pace{}, means: map[string]time.Duration{}, works: map[string]time.Duration{}, sizes: map[string]float64{}, perRequest: map[string]float64{}}
+	return &Collector{work: map[workKey]float32{}, pace: map[string]*peerapi.TargetStats{}, means: map[string]time.Duration{}, works: map[string]time.Duration{}, sizes: map[string]float64{}, perRequest: map[string]float64{}}
 }
 
 // RecordArrival notes a request for a key.
@@ -132,7 +132,7 @@
 	}
 	p := c.pace[target]
 	if p == nil {
-		p = &peerapi.Pace{Target: target}
+		p = &peerapi.TargetStats{Target: target}
 		c.pace[target] = p
 	}
 	p.Count++
@@ -148,7 +148,7 @@
 }
 
 // AddReport takes what another instance has collected, to be drained with what was collected here.
-func (c *Collector) AddReport(work []peerapi.Work, pace []peerapi.Pace) {
+func (c *Collector) AddReport(work []peerapi.KeyLoad, pace []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range work {
@@ -157,7 +157,7 @@
 	for _, p := range pace {
 		own := c.pace[p.Target]
 		if own == nil {
-			own = &peerapi.Pace{Target: p.Target}
+			own = &peerapi.TargetStats{Target: p.Target}
 			c.pace[p.Target] = own
 		}
 		own.Count += p.Count
@@ -167,14 +167,14 @@
 }
 
 // Drain returns what was collected since the last call.
-func (c *Collector) Drain() ([]peerapi.Work, []peerapi.Pace) {
+func (c *Collector) Drain() ([]peerapi.KeyLoad, []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	work := make([]peerapi.Work, 0, len(c.work))
+	work := make([]peerapi.KeyLoad, 0, len(c.work))
 	for k, seconds := range c.work {
-		work = append(work, peerapi.Work{Service: k.service, Key: k.key, Seconds: seconds})
+		work = append(work, peerapi.KeyLoad{Service: k.service, Key: k.key, Seconds: seconds})
 	}
-	pace := make([]peerapi.Pace, 0, len(c.pace))
+	pace := make([]peerapi.TargetStats, 0, len(c.pace))
 	for _, p := range c.pace {
 		pace = append(pace, *p)
 	}
@@ -219,7 +219,7 @@
 }
 
 // AddReport takes one report that was made now.
-func (t *Aggregator) AddReport(work []peerapi.Work, pace []peerapi.Pace, now clock.Instant) {
+func (t *Aggregator) AddReport(work []peerapi.KeyLoad, pace []peerapi.TargetStats, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range work {
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -28,9 +28,9 @@
 	var load *keyrange.Load
 	for range seconds * 2 {
 		now = now.Add(500 * time.Millisecond)
-		var list []peerapi.Work
+		var list []peerapi.KeyLoad
 		for range perSecond / 2 {
-			list = append(list, peerapi.Work{Service: "s", Key: pick(), Seconds: work})
+			list = append(list, peerapi.KeyLoad{Service: "s", Key: pick(), Seconds: work})
 		}
 		t.AddReport(list, nil, now)
 		load, _ = t.Load("s", now)
@@ -75,7 +75,7 @@
 	It("tells how fast targets are", func() {
 		t := NewAggregator()
 		for range 50 {
-			t.AddReport(nil, []peerapi.Pace{{Target: "slow", Count: 4, Slowness: 8}, {Target: "fast", Count: 4, Slowness: 2}}, start)
+			t.AddReport(nil, []peerapi.TargetStats{{Target: "slow", Count: 4, Slowness: 8}, {Target: "fast", Count: 4, Slowness: 2}}, start)
 		}
 		_, speeds := t.Load("s", start)
 		Expect(speeds["slow"]).To(BeNumerically("~", 0.5, 0.05))
@@ -90,7 +90,7 @@
 		c.RecordArrival("s", "r", 7)
 		c.RecordArrival("s", "r", 7)
 		work, _ := c.Drain()
-		Expect(work).To(Equal([]peerapi.Work{{Service: "s", Key: 7, Seconds: 0.4}}))
+		Expect(work).To(Equal([]peerapi.KeyLoad{{Service: "s", Key: 7, Seconds: 0.4}}))
 		work, _ = c.Drain()
 		Expect(work).To(BeEmpty())
 	})
--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -50,7 +50,7 @@
 		version, err := t.c.store.Commit(callCtx, txn)
 		cancel()
 		var again *stored
-		if err != nil && !errors.Is(err, store.ErrNotDone) && !errors.Is(err, store.ErrThrottled) {
+		if err != nil && !errors.Is(err, store.ErrNotApplied) && !errors.Is(err, store.ErrThrottled) {
 			// What became of it shows in what the store holds now.
 			again, _ = t.c.readStored(ctx)
 		}
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -286,7 +286,7 @@
 
 // adoptMap takes over a map of the leading instance's. One that cannot be made out of the
 // one known here is read from the store, or told as a whole the next time.
-func (c *Coordinator) adoptMap(service string, news peerapi.MapNews) {
+func (c *Coordinator) adoptMap(service string, news peerapi.MapUpdate) {
 	base := keyrange.Empty()
 	if news.From != 0 {
 		base = c.board.Load().Maps[service]
--- a/coordination/lead/handover_test.go
+++ b/coordination/lead/handover_test.go
@@ -59,7 +59,7 @@
 // cutOff is a store that takes no change from one instance.
 type cutOff struct{ store.Store }
 
-func (cutOff) Commit(context.Context, store.Txn) (uint64, error) { return 0, store.ErrNotDone }
+func (cutOff) Commit(context.Context, store.Txn) (uint64, error) { return 0, store.ErrNotApplied }
 
 var _ = Describe("the lease of a small instance", func() {
 	var s *memoryStore
--- a/coordination/lead/lead_test.go
+++ b/coordination/lead/lead_test.go
@@ -169,8 +169,8 @@
 	})
 
 	It("is refused when it cannot be applied", func() {
-		follower.adoptMap("s", peerapi.MapNews{Version: 7, From: 6, Changed: []keyrange.Range{{From: 0, To: 9}}})
-		follower.adoptMap("s", peerapi.MapNews{Version: 7, Changed: []keyrange.Range{{From: 0, To: 9}}})
+		follower.adoptMap("s", peerapi.MapUpdate{Version: 7, From: 6, Changed: []keyrange.Range{{From: 0, To: 9}}})
+		follower.adoptMap("s", peerapi.MapUpdate{Version: 7, Changed: []keyrange.Range{{From: 0, To: 9}}})
 		Expect(follower.board.Load().Maps).To(BeEmpty())
 	})
 })
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -140,7 +140,7 @@
 		r.log("rules-refused", "error", err.Error(), "row", row.Version)
 		return
 	}
-	set = set.Sharing(r.board.Load().Rules)
+	set = set.ReuseFrom(r.board.Load().Rules)
 	adopted := r.board.SetRules(version, set, at)
 	tellRules(r.log, rulesNews{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
 }
--- a/coordination/lead/relay_test.go
+++ b/coordination/lead/relay_test.go
@@ -37,17 +37,17 @@
 
 func (s *darkStore) Commit(context.Context, store.Txn) (uint64, error) {
 	s.calls.Add(1)
-	return 0, store.ErrNotDone
+	return 0, store.ErrNotApplied
 }
 
 func (s *darkStore) Scan(context.Context, string, string) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
-	return nil, 0, store.ErrNotDone
+	return nil, 0, store.ErrNotApplied
 }
 
 func (s *darkStore) Feed(context.Context, string, uint64, time.Duration) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
-	return nil, 0, store.ErrNotDone
+	return nil, 0, store.ErrNotApplied
 }
 
 // leaseStore holds the row of the lease.
--- a/coordination/lead/rules.go
+++ b/coordination/lead/rules.go
@@ -56,7 +56,7 @@
 	text, known := t.encoded[reply.RulesFrom]
 	if !known {
 		var err error
-		if text, err = newest.set.Changes(former).Encode(); err != nil {
+		if text, err = newest.set.ChangesFrom(former).Encode(); err != nil {
 			return err
 		}
 		t.encoded[reply.RulesFrom] = text
@@ -152,7 +152,7 @@
 // tellNotes tells operators what of a configuration in force was not understood. The callers
 // concerned see no more than refusals.
 func tellNotes(log Log, version uint64, set *rules.Set) {
-	notes := set.Notes()
+	notes := set.Warnings()
 	rulesNotUnderstood.Set(float64(len(notes)))
 	for _, note := range notes[:min(toldNotes, len(notes))] {
 		log("rule-not-understood", "rules", version, "of", len(notes), "mistake", note.String())
--- a/coordination/lead/rules_test.go
+++ b/coordination/lead/rules_test.go
@@ -227,7 +227,7 @@
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	<-ctx.Done()
-	return store.ErrUnknown
+	return store.ErrOutcomeUnknown
 }
 
 var _ = Describe("a reading that hangs", func() {
@@ -246,7 +246,7 @@
 			cancel()
 			reading.Wait()
 		})
-		c.noteStore(ctx, store.ErrUnknown)
+		c.noteStore(ctx, store.ErrOutcomeUnknown)
 		c.lostAt = c.lostAt.Add(-shortOutage)
 		reading.Go(func() { c.readRules(ctx) })
 		Eventually(s.waiting.Load, "2s", "5ms").Should(BeEquivalentTo(1))
--- a/coordination/lead/serve.go
+++ b/coordination/lead/serve.go
@@ -130,7 +130,7 @@
 	for service, m := range s.Maps {
 		if m.Version > args.MapVersions[service] {
 			if reply.Maps == nil {
-				reply.Maps = map[string]peerapi.MapNews{}
+				reply.Maps = map[string]peerapi.MapUpdate{}
 			}
 			reply.Maps[service] = c.told.mapNews(service, args.MapVersions[service], m)
 		}
--- a/coordination/lead/told.go
+++ b/coordination/lead/told.go
@@ -133,7 +133,7 @@
 
 // mapNews returns what has changed in a map since a version. Followers mostly ask from the
 // same one, so that differences are kept.
-func (t *told) mapNews(service string, since uint64, m *keyrange.Map) peerapi.MapNews {
+func (t *told) mapNews(service string, since uint64, m *keyrange.Map) peerapi.MapUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, old := range t.maps[service] {
@@ -149,7 +149,7 @@
 			changed = m.Diff(old)
 			t.differ[key] = changed
 		}
-		return peerapi.MapNews{Version: m.Version, From: since, Changed: changed}
+		return peerapi.MapUpdate{Version: m.Version, From: since, Changed: changed}
 	}
-	return peerapi.MapNews{Version: m.Version, Changed: m.Ranges}
+	return peerapi.MapUpdate{Version: m.Version, Changed: m.Ranges}
 }
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -151,11 +151,11 @@
 }
 
 // reportedHere returns the instances that have reported through this one, for its own report.
-func (c *Coordinator) reportedHere() []peerapi.Member {
+func (c *Coordinator) reportedHere() []peerapi.RelayedInstance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	var list []peerapi.Member
+	var list []peerapi.RelayedInstance
 	for id, d := range c.below {
 		if now.Sub(d.heardAt) > memberFor {
 			delete(c.below, id)
@@ -165,7 +165,7 @@
 			continue
 		}
 		d.passedOn = now
-		list = append(list, peerapi.Member{Instance: d.Instance, Age: now.Sub(d.heardAt), Leaving: d.leaving})
+		list = append(list, peerapi.RelayedInstance{Instance: d.Instance, Age: now.Sub(d.heardAt), Leaving: d.leaving})
 	}
 	return list
 }
--- a/coordination/lead/vacate_test.go
+++ b/coordination/lead/vacate_test.go
@@ -29,7 +29,7 @@
 	case <-time.After(s.answersIn):
 		return s.leaseStore.Scan(ctx, table, part)
 	case <-ctx.Done():
-		return nil, 0, store.ErrUnknown
+		return nil, 0, store.ErrOutcomeUnknown
 	}
 }
 
--- a/coordination/lead/whole.go
+++ b/coordination/lead/whole.go
@@ -93,9 +93,9 @@
 	}
 	reply.Targets, reply.TargetsWhole = all.Targets, true
 	reply.Instances, reply.InstancesWhole = all.Instances, true
-	reply.Maps = map[string]peerapi.MapNews{}
+	reply.Maps = map[string]peerapi.MapUpdate{}
 	for service, m := range all.Maps {
-		reply.Maps[service] = peerapi.MapNews{Version: m.Version, Changed: m.Ranges}
+		reply.Maps[service] = peerapi.MapUpdate{Version: m.Version, Changed: m.Ranges}
 	}
 	return nil
 }
--- a/instance/config_test.go
+++ b/instance/config_test.go
@@ -42,7 +42,7 @@
 	for n := range count {
 		s := settings.Default()
 		s.Name = fmt.Sprintf("i%d", n)
-		s.Rules = settings.RulesPlatform
+		s.Rules = settings.RulesFromPlatform
 		s.Platform = address
 		s.Listen, s.Peer, s.Admin, s.Readiness = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 		s.OperatorToken = testSecret
--- a/instance/crash_test.go
+++ b/instance/crash_test.go
@@ -194,7 +194,7 @@
 		f.crash(3)
 		time.Sleep(learnTime)
 		Expect(f.crash(3)).To(BeZero())
-		var list []admin.Quarantined
+		var list []admin.QuarantinedRequest
 		_, text := ask(f.instances[0].admin, "GET", "/v1/quarantine", "", testSecret)
 		Expect(json.Unmarshal([]byte(text), &list)).To(Succeed())
 		Expect(list).To(HaveLen(1))
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -50,17 +50,17 @@
 
 func (s deafStore) Commit(context.Context, store.Txn) (uint64, error) {
 	<-s.hang
-	return 0, store.ErrUnknown
+	return 0, store.ErrOutcomeUnknown
 }
 
 func (s deafStore) Scan(context.Context, string, string) ([]store.Row, uint64, error) {
 	<-s.hang
-	return nil, 0, store.ErrUnknown
+	return nil, 0, store.ErrOutcomeUnknown
 }
 
 func (s deafStore) Feed(context.Context, string, uint64, time.Duration) ([]store.Row, uint64, error) {
 	<-s.hang
-	return nil, 0, store.ErrUnknown
+	return nil, 0, store.ErrOutcomeUnknown
 }
 
 var _ = Describe("an instance", func() {
--- a/instance/operate.go
+++ b/instance/operate.go
@@ -117,7 +117,7 @@
 	}
 	found, missing := o.ask(ctx, &peerapi.DescribeArgs{})
 	for _, d := range found {
-		status.Instances = append(status.Instances, admin.StatusOf(d))
+		status.Instances = append(status.Instances, admin.InstanceStatusOf(d))
 	}
 	for _, id := range missing {
 		status.Instances = append(status.Instances, admin.InstanceStatus{ID: id, Missing: true})
@@ -126,7 +126,7 @@
 	if s.Rules == nil {
 		return status
 	}
-	for _, note := range s.Rules.Notes() {
+	for _, note := range s.Rules.Warnings() {
 		status.NotUnderstood = append(status.NotUnderstood, note.String())
 	}
 	for _, service := range s.Rules.Services() {
--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -12,16 +12,16 @@
 	"lycheehall.example/lycheehall/timeline"
 )
 
-// Work is what arrived for one key since the last report.
-type Work struct {
+// KeyLoad is what arrived for one key since the last report.
+type KeyLoad struct {
 	Service string
 	Key     uint16
 	// Seconds is the time that the requests should take at a target of average speed.
 	Seconds float32
 }
 
-// Pace is how fast one target answered since the last report.
-type Pace struct {
+// TargetStats is how fast one target answered since the last report.
+type TargetStats struct {
 	Target string
 	// Count is the number of answers.
 	Count int
@@ -32,8 +32,8 @@
 	Limit float64
 }
 
-// Member is an instance that has reported through another one.
-type Member struct {
+// RelayedInstance is an instance that has reported through another one.
+type RelayedInstance struct {
 	view.Instance
 	// Age is how long ago it reported.
 	Age time.Duration
@@ -53,12 +53,12 @@
 	EvacuationsVersion uint64
 	// Wait is how long the answer may be held until there is something newer.
 	Wait time.Duration
-	Work []Work
-	Pace []Pace
+	Work []KeyLoad
+	Pace []TargetStats
 	// Relayed asks the receiver to pass the report on to the leading instance, and to answer for it.
 	Relayed bool
 	// Members are instances that have reported through the sender.
-	Members []Member
+	Members []RelayedInstance
 	// Lost is the holder of the lease that the sender found not to lead any more.
 	Lost string
 	// Starting says that the sender knows nothing: whatever is known is of use to it, however old.
@@ -133,7 +133,7 @@
 	// the fields for them.
 	Whole []byte
 	// Maps are the maps that are newer than those in the report.
-	Maps map[string]MapNews
+	Maps map[string]MapUpdate
 
 	// InstancesVersion is given when it is newer than the one in the report, with the instances
 	// that are new or changed since then and the ids of those that are gone. InstancesWhole
@@ -150,8 +150,8 @@
 	Lamport uint64
 }
 
-// MapNews is a map, as a whole or as what has changed since the version in the report.
-type MapNews struct {
+// MapUpdate is a map, as a whole or as what has changed since the version in the report.
+type MapUpdate struct {
 	Version uint64
 	// From is the version that Changed is to be applied to; 0: Changed is the whole map.
 	From    uint64
--- a/protocol/rules/changes.go
+++ b/protocol/rules/changes.go
@@ -34,8 +34,8 @@
 // errOtherSet says that changes were not made for the set that they were applied to.
 var errOtherSet = errors.New("rules: the changes are those of another set")
 
-// Changes returns what turns a former set into this one; nil: into it from nothing.
-func (s *Set) Changes(former *Set) Changes {
+// ChangesFrom returns what turns a former set into this one; nil: into it from nothing.
+func (s *Set) ChangesFrom(former *Set) Changes {
 	places := map[string]int{}
 	var before []*compiled
 	if former != nil {
@@ -68,10 +68,10 @@
 	return d.Sum64()
 }
 
-// Sharing returns the set with those rules of a former one that are the same, so that versions
+// ReuseFrom returns the set with those rules of a former one that are the same, so that versions
 // which are kept beside each other take the space of what has changed.
-func (s *Set) Sharing(former *Set) *Set {
-	shared, err := s.Changes(former).Apply(former)
+func (s *Set) ReuseFrom(former *Set) *Set {
+	shared, err := s.ChangesFrom(former).Apply(former)
 	if err != nil {
 		// Not reached: the changes were made from this very set.
 		return s
--- a/protocol/rules/changes_test.go
+++ b/protocol/rules/changes_test.go
@@ -14,7 +14,7 @@
 // passOn encodes the changes from one set to another, and applies them as another instance does.
 func passOn(from, to *rules.Set) (*rules.Set, int) {
 	GinkgoHelper()
-	text, err := to.Changes(from).Encode()
+	text, err := to.ChangesFrom(from).Encode()
 	Expect(err).NotTo(HaveOccurred())
 	changes, err := rules.DecodeChanges(text)
 	Expect(err).NotTo(HaveOccurred())
@@ -40,11 +40,11 @@
 	It("make the set that they were taken from, with all its fields", func() {
 		set, err := rules.Parse("example", examples.Rules)
 		Expect(err).NotTo(HaveOccurred())
-		set.Note(rules.Mistake{File: "f", Where: "rule 3", Message: "m"})
+		set.AddWarnings(rules.Mistake{File: "f", Where: "rule 3", Message: "m"})
 		got, _ := passOn(nil, set)
 		Expect(got.Rules()).To(Equal(set.Rules()))
 		Expect(got.Services()).To(Equal(set.Services()))
-		Expect(got.Notes()).To(Equal(set.Notes()))
+		Expect(got.Warnings()).To(Equal(set.Warnings()))
 		Expect(got.Decide(request("GET", "/plumbers/h-1")).Key).To(Equal("h-1"))
 	})
 
@@ -76,7 +76,7 @@
 	})
 
 	It("are refused by a set that they were not made for, or when they are cut short", func() {
-		changes := manyRules(20, "t").Changes(manyRules(20, "s"))
+		changes := manyRules(20, "t").ChangesFrom(manyRules(20, "s"))
 		_, err := changes.Apply(manyRules(3, "s"))
 		Expect(err).To(HaveOccurred())
 		_, err = changes.Apply(nil)
--- a/protocol/rules/match.go
+++ b/protocol/rules/match.go
@@ -42,11 +42,11 @@
 	notes    Mistakes
 }
 
-// Note adds to what was not understood of the configuration.
-func (s *Set) Note(m ...Mistake) { s.notes = append(s.notes, m...) }
+// AddWarnings adds to what was not understood of the configuration.
+func (s *Set) AddWarnings(m ...Mistake) { s.notes = append(s.notes, m...) }
 
-// Notes are what was not understood of a configuration that is used all the same.
-func (s *Set) Notes() Mistakes { return s.notes }
+// Warnings are what was not understood of a configuration that is used all the same.
+func (s *Set) Warnings() Mistakes { return s.notes }
 
 // compiled is a rule in the form that requests are matched against.
 type compiled struct {
@@ -92,8 +92,8 @@
 	// Keyed says that the rule asks for a key; Key is empty when the request has none.
 	Keyed bool
 	Key   string
-	// Number says that Key is the number of the key, not a text to be hashed.
-	Number bool
+	// KeyIsNumber says that Key is the number of the key, not a text to be hashed.
+	KeyIsNumber bool
 }
 
 func compile(f *file) *Set {
@@ -149,7 +149,7 @@
 	if d.Key == "" {
 		return 0, false
 	}
-	if !d.Number {
+	if !d.KeyIsNumber {
 		return uint16(xxhash.Sum64String(d.Key)), true
 	}
 	n, err := strconv.ParseUint(d.Key, 10, 16)
@@ -171,7 +171,7 @@
 }
 
 func (c *placed) decide(r *Request, v *variables) Decision {
-	d := Decision{Rule: &c.rule, Index: c.place, Keyed: c.keySource != noKey, Number: c.keySource == fromNumber}
+	d := Decision{Rule: &c.rule, Index: c.place, Keyed: c.keySource != noKey, KeyIsNumber: c.keySource == fromNumber}
 	switch c.keySource {
 	case fromPath:
 		d.Key = v.values[c.keyIndex]
@@ -290,5 +290,5 @@
 	}
 }
 
-// DeadlineOf returns the time that a rule gives to a whole request.
-func (r *Rule) DeadlineOf() time.Duration { return time.Duration(r.Then.Deadline) }
+// Deadline returns the time that a rule gives to a whole request.
+func (r *Rule) Deadline() time.Duration { return time.Duration(r.Then.Deadline) }
--- a/protocol/rules/parse.go
+++ b/protocol/rules/parse.go
@@ -10,14 +10,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxText is the largest configuration accepted, in bytes.
-const MaxText = 256 << 10
+// MaxTextBytes is the largest configuration accepted, in bytes.
+const MaxTextBytes = 256 << 10
 
 // Parse reads and checks a configuration. name is used in mistakes. The error is of
 // type Mistakes and lists everything found.
 func Parse(name, text string) (*Set, error) {
-	if len(text) > MaxText {
-		return nil, Mistakes{{File: name, Message: fmt.Sprintf("the file has %d bytes; at most %d are accepted", len(text), MaxText)}}
+	if len(text) > MaxTextBytes {
+		return nil, Mistakes{{File: name, Message: fmt.Sprintf("the file has %d bytes; at most %d are accepted", len(text), MaxTextBytes)}}
 	}
 	var f file
 	mistakes := decode(name, text, &f)
@@ -42,25 +42,25 @@
 // What a caller is told whose rule cannot be used, and when to come back: operators who see it
 // need some seconds to put another configuration into force.
 const (
-	NotUnderstood      = "rule-not-understood"
-	NotUnderstoodRetry = Duration(5 * time.Second)
+	RuleNotUnderstood           = "rule-not-understood"
+	RuleNotUnderstoodRetryAfter = Duration(5 * time.Second)
 )
 
-// BuildUsable is Build for a configuration that others have accepted, and that must be used as
+// BuildLenient is Build for a configuration that others have accepted, and that must be used as
 // far as it goes: a mistake in one rule keeps its own requests unserved, refused as not run, and
 // is told by Notes. The error says that rules or services contradict each other: two have one
 // name.
 //
 // One rule of a kind that was not known once refused the whole, so that nothing was served at
 // all.
-func BuildUsable(name string, services []Service, list []Rule) (*Set, error) {
+func BuildLenient(name string, services []Service, list []Rule) (*Set, error) {
 	f := &file{Service: services, Rule: list}
 	c, notes := checkEach(name, f)
 	if len(c.contradictions) > 0 {
 		return nil, c.contradictions
 	}
 	s := compile(f)
-	s.Note(notes...)
+	s.AddWarnings(notes...)
 	return s, nil
 }
 
@@ -75,7 +75,7 @@
 		before := len(c.mistakes)
 		c.rule(i, &f.Rule[i], names)
 		if len(c.mistakes) > before {
-			f.Rule[i].Then = Then{Refuse: &Refuse{Status: http.StatusServiceUnavailable, Message: NotUnderstood, RetryAfter: NotUnderstoodRetry}}
+			f.Rule[i].Then = Then{Refuse: &Refuse{Status: http.StatusServiceUnavailable, Message: RuleNotUnderstood, RetryAfter: RuleNotUnderstoodRetryAfter}}
 		}
 	}
 	return c, c.mistakes
--- a/protocol/rules/rules_test.go
+++ b/protocol/rules/rules_test.go
@@ -63,7 +63,7 @@
 	})
 
 	It("refuses a text that is too large", func() {
-		_, err := rules.Parse("f", strings.Repeat("#", rules.MaxText+1))
+		_, err := rules.Parse("f", strings.Repeat("#", rules.MaxTextBytes+1))
 		Expect(err).To(MatchError(ContainSubstring("at most")))
 	})
 })
--- a/protocol/wire/names.go
+++ b/protocol/wire/names.go
@@ -11,8 +11,8 @@
 	Signature string
 	// Target names the target that a request is meant for; any other refuses it.
 	Target string
-	// NotRun in a target's answer says that the request did not run.
-	NotRun string
+	// NotExecuted in a target's answer says that the request did not run.
+	NotExecuted string
 	// Leaving in a target's answer says that the target is about to leave.
 	Leaving string
 	// Limit in a target's answer is how many requests a second it takes from all instances together.
@@ -23,8 +23,8 @@
 	Key string
 	// ReadyPath is the path of the balancer's health check.
 	ReadyPath string
-	// TargetIs names the target that answers.
-	TargetIs string
+	// AnsweredBy names the target that answers.
+	AnsweredBy string
 	// HandoverRef in the answer to a release refers to what the former owner prepared for
 	// the next one.
 	HandoverRef string
--- a/protocol/wire/quiet.go
+++ b/protocol/wire/quiet.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet reports whether an idle connection is still open and has nothing to be read. One
+// Reusable reports whether an idle connection is still open and has nothing to be read. One
 // that its peer has closed looks usable until something is sent on it, and what is sent is
 // then lost with an unknown outcome; bytes that nobody asked for belong to no request.
-func Quiet(c net.Conn) bool {
+func Reusable(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -20,8 +20,8 @@
 
 // Who keeps the rules.
 const (
-	RulesPlatform = "platform"
-	RulesOwn      = "lycheehall"
+	RulesFromPlatform = "platform"
+	RulesFromStore    = "lycheehall"
 )
 
 // Settings of an instance.
@@ -84,7 +84,7 @@
 		Seeds:    []string{},
 		Grace:    Duration(6 * time.Second), HoldMax: Duration(10 * time.Second), Drain: Duration(2 * time.Second),
 		MaxBody: 64 << 20,
-		Rules:   RulesOwn,
+		Rules:   RulesFromStore,
 		Retries: Retries{Ratio: 0.2, Slack: 60, Window: Duration(10 * time.Second)},
 	}
 }
@@ -125,8 +125,8 @@
 	return err
 }
 
-// MinSecret is the shortest secret accepted, in characters.
-const MinSecret = 16
+// MinSecretLength is the shortest secret accepted, in characters.
+const MinSecretLength = 16
 
 // Validate reports everything that is wrong, one line for each field.
 func (s Settings) Validate() error {
@@ -168,17 +168,17 @@
 	if s.MaxBody < 1 {
 		bad("max_body", "is %d; write a number of bytes above 0", s.MaxBody)
 	}
-	if s.Secret != "" && len(s.Secret) < MinSecret {
-		bad("secret", "has %d characters; give at least %d", len(s.Secret), MinSecret)
+	if s.Secret != "" && len(s.Secret) < MinSecretLength {
+		bad("secret", "has %d characters; give at least %d", len(s.Secret), MinSecretLength)
 	}
-	if s.OperatorToken != "" && len(s.OperatorToken) < MinSecret {
-		bad("operator_token", "has %d characters; give at least %d", len(s.OperatorToken), MinSecret)
+	if s.OperatorToken != "" && len(s.OperatorToken) < MinSecretLength {
+		bad("operator_token", "has %d characters; give at least %d", len(s.OperatorToken), MinSecretLength)
 	}
 	if given := s.TLSCert != ""; given != (s.TLSKey != "") || given != (s.TLSCA != "") {
 		bad("tls_cert", "tls_cert, tls_key and tls_ca belong together; give all three or none")
 	}
-	if s.Rules != RulesPlatform && s.Rules != RulesOwn {
-		bad("rules", "is %q; write %q or %q", s.Rules, RulesPlatform, RulesOwn)
+	if s.Rules != RulesFromPlatform && s.Rules != RulesFromStore {
+		bad("rules", "is %q; write %q or %q", s.Rules, RulesFromPlatform, RulesFromStore)
 	}
 	if s.Retries.Ratio < 0 || s.Retries.Slack < 0 || s.Retries.Window <= 0 {
 		bad("retries", "ratio and slack must not be negative, and window must be above 0s")
--- a/state/rulestore/evacuate.go
+++ b/state/rulestore/evacuate.go
@@ -15,8 +15,8 @@
 // evacuateTries bounds the tries to change a row that somebody else changes too.
 const evacuateTries = 3
 
-// EvacuatedBy returns the data centre that a row of Table asks to evacuate, as long as the row is there.
-func EvacuatedBy(row store.Row) (dataCentre string, ok bool) {
+// EvacuatedDataCentre returns the data centre that a row of Table asks to evacuate, as long as the row is there.
+func EvacuatedDataCentre(row store.Row) (dataCentre string, ok bool) {
 	dataCentre, ok = strings.CutPrefix(row.Key, evacuateKey)
 	return dataCentre, ok && dataCentre != ""
 }
--- a/state/rulestore/rulestore.go
+++ b/state/rulestore/rulestore.go
@@ -164,7 +164,7 @@
 		return nil
 	case errors.Is(err, store.ErrConflict):
 		return ErrConflict
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		return fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
--- a/state/rulestore/rulestore_test.go
+++ b/state/rulestore/rulestore_test.go
@@ -29,7 +29,7 @@
 			rows, _, err := s.Scan(ctx, rulestore.Table, "")
 			Expect(err).NotTo(HaveOccurred())
 			for _, row := range rows {
-				if dataCentre, ok := rulestore.EvacuatedBy(row); ok {
+				if dataCentre, ok := rulestore.EvacuatedDataCentre(row); ok {
 					list = append(list, dataCentre)
 				}
 			}
--- a/state/store/store.go
+++ b/state/store/store.go
@@ -15,13 +15,13 @@
 	// ErrConflict says that a condition of a transaction did not hold; nothing was done.
 	// The error is a *ConflictError with the current rows.
 	ErrConflict = errors.New("store: a condition does not hold")
-	// ErrNotDone says that nothing was done and that the call may be repeated.
-	ErrNotDone = errors.New("store: not done")
+	// ErrNotApplied says that nothing was done and that the call may be repeated.
+	ErrNotApplied = errors.New("store: not done")
 	// ErrThrottled says that nothing was done because calls come too fast.
 	ErrThrottled = errors.New("store: throttled")
-	// ErrUnknown says that the call may have taken effect, or may still do so later if its
+	// ErrOutcomeUnknown says that the call may have taken effect, or may still do so later if its
 	// conditions hold by then.
-	ErrUnknown = errors.New("store: outcome unknown")
+	ErrOutcomeUnknown = errors.New("store: outcome unknown")
 	// ErrHistoryGone says that a feed cannot continue from the given version, which may be of a former
 	// era. The table must be read as a whole.
 	ErrHistoryGone = errors.New("store: history is gone")
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -35,8 +35,8 @@
 	Value string `json:"value"`
 }
 
-// Dropped is the kind of the entry that stands for events that are no longer kept.
-const Dropped = "events-dropped"
+// KindDropped is the kind of the entry that stands for events that are no longer kept.
+const KindDropped = "events-dropped"
 
 // String returns the event on one line, without its wall clock time.
 func (e Event) String() string {
@@ -126,7 +126,7 @@
 		if len(events) > 0 && events[0].Seq > 1 {
 			first := events[0]
 			all = append(all, Event{
-				Lamport: first.Lamport - 1, Instance: first.Instance, Seq: first.Seq - 1, Time: first.Time, Kind: Dropped,
+				Lamport: first.Lamport - 1, Instance: first.Instance, Seq: first.Seq - 1, Time: first.Time, Kind: KindDropped,
 				Fields: []Field{{"count", fmt.Sprint(first.Seq - 1)}},
 			})
 		}
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -34,7 +34,7 @@
 		}
 		merged := Merge(r.Events())
 		Expect(merged).To(HaveLen(4))
-		Expect(merged[0].Kind).To(Equal(Dropped))
+		Expect(merged[0].Kind).To(Equal(KindDropped))
 		Expect(merged[1].Seq).To(Equal(uint64(3)))
 	})
 
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -107,7 +107,7 @@
 // back.
 type EvacuateRequest struct {
 	DataCentre string `json:"data_centre"`
-	Over       bool   `json:"over,omitempty"`
+	End        bool   `json:"over,omitempty"`
 }
 
 // ExplainRequest describes a request that is not made.
@@ -139,8 +139,8 @@
 	Code string `json:"code"`
 }
 
-// Quarantined is a request that is to reach no target.
-type Quarantined struct {
+// QuarantinedRequest is a request that is to reach no target.
+type QuarantinedRequest struct {
 	// Fingerprint names it in the log, too.
 	Fingerprint string `json:"fingerprint"`
 	// Targets and Callers are how many targets ended under it, for how many callers.
@@ -294,7 +294,7 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	if err := h.b.Evacuate(r.Context(), req.DataCentre, !req.Over); err != nil {
+	if err := h.b.Evacuate(r.Context(), req.DataCentre, !req.End); err != nil {
 		writeError(w, 0, err)
 		return
 	}
@@ -302,9 +302,9 @@
 }
 
 func (h *handler) quarantine(w http.ResponseWriter, _ *http.Request) {
-	list := []Quarantined{}
+	list := []QuarantinedRequest{}
 	for _, n := range h.b.Quarantine() {
-		list = append(list, Quarantined{Fingerprint: n.Fingerprint.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
+		list = append(list, QuarantinedRequest{Fingerprint: n.Fingerprint.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
 	}
 	writeJSON(w, http.StatusOK, list)
 }
@@ -340,7 +340,7 @@
 	writeJSON(w, status, Result{Version: version, Code: code, Error: err.Error()})
 }
 
-// StatusOf turns an instance's description of itself into a line of a Status.
-func StatusOf(d *peerapi.Description) InstanceStatus {
+// InstanceStatusOf turns an instance's description of itself into a line of a Status.
+func InstanceStatusOf(d *peerapi.Description) InstanceStatus {
 	return InstanceStatus{ID: d.Instance.ID, DataCentre: d.Instance.DataCentre, Rules: d.RulesVersion, Maps: d.Maps, KnownMs: d.Known.Milliseconds()}
 }
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -145,7 +145,7 @@
 
 // setDeadline takes the shorter of the caller's and the rule's time.
 func (c *call) setDeadline() {
-	left := c.decision.Rule.DeadlineOf()
+	left := c.decision.Rule.Deadline()
 	if ms, err := strconv.ParseInt(c.r.Header.Get(c.h.config.Names.Timeout), 10, 64); err == nil && ms > 0 {
 		given := time.Duration(ms) * time.Millisecond
 		c.given = given
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -31,7 +31,7 @@
 	RunSpecs(t, "Front")
 }
 
-var names = wire.Names{RequestID: "Id", Timeout: "Timeout-Ms", Signature: "Signed", Target: "Target", NotRun: "Not-Run", Key: "Key"}
+var names = wire.Names{RequestID: "Id", Timeout: "Timeout-Ms", Signature: "Signed", Target: "Target", NotExecuted: "Not-Run", Key: "Key"}
 
 const ruleText = `
 [[service]]
--- a/transport/front/try.go
+++ b/transport/front/try.go
@@ -91,7 +91,7 @@
 	header.Del(c.h.config.Names.Timeout)
 	header.Del(c.h.config.Names.Target)
 	header.Set(c.h.config.Names.RequestID, c.id)
-	if c.keyed && !c.decision.Number {
+	if c.keyed && !c.decision.KeyIsNumber {
 		header.Set(c.h.config.Names.Key, strconv.Itoa(int(c.key)))
 	}
 	return &upstream.Request{
--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -284,7 +284,7 @@
 	t := c.target(o.Target)
 	var kept []*conn
 	for _, cn := range t.idle {
-		if time.Since(cn.usedAt) < idleFor && cn.reader.Buffered() == 0 && wire.Quiet(cn.Conn) {
+		if time.Since(cn.usedAt) < idleFor && cn.reader.Buffered() == 0 && wire.Reusable(cn.Conn) {
 			kept = append(kept, cn)
 			continue
 		}
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -276,7 +276,7 @@
 // judge decides what an answer says.
 func (x *exchange) judge(resp *http.Response, body []byte) (*Response, error) {
 	names := x.client.names
-	if resp.Header.Get(names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
+	if resp.Header.Get(names.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return nil, &NotExecutedError{Status: resp.StatusCode, TargetStatus: x.word(resp)}
 	}
 	if resp.Header.Get(names.Signature) == "" || resp.Header.Get(names.RequestID) != x.request.ID {
@@ -289,7 +289,7 @@
 // itself only.
 func (x *exchange) word(resp *http.Response) TargetStatus {
 	names := x.client.names
-	if who := resp.Header.Get(names.TargetIs); who != "" && who != x.target.Name {
+	if who := resp.Header.Get(names.AnsweredBy); who != "" && who != x.target.Name {
 		return TargetStatus{}
 	}
 	w := TargetStatus{Known: true, Leaving: resp.Header.Get(names.Leaving) != ""}
--- a/transport/upstream/pool.go
+++ b/transport/upstream/pool.go
@@ -102,7 +102,7 @@
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
 		age := time.Since(c.idleAt)
-		if age < c.idleFor && !(careful && age > freshFor) && c.reader.Buffered() == 0 && wire.Quiet(c.Conn) {
+		if age < c.idleFor && !(careful && age > freshFor) && c.reader.Buffered() == 0 && wire.Reusable(c.Conn) {
 			return c
 		}
 		connectionsStale.Inc()
