--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -12,7 +12,7 @@
 	"lycheehall.example/lycheehall/coordination/keyrange"
 	"lycheehall.example/lycheehall/coordination/lease"
 	"lycheehall.example/lycheehall/coordination/quarantine"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 	"lycheehall.example/lycheehall/coordination/view"
 	"lycheehall.example/lycheehall/protocol/peerapi"
 	"lycheehall.example/lycheehall/state/store"
@@ -46,7 +46,7 @@
 	// that others of its process have to do with.
 	Quarantine *quarantine.Registry
 	// TargetStatus is what targets have said of themselves to this instance; nil: nothing is heard here.
-	TargetStatus *standing.Registry
+	TargetStatus *targetstatus.Registry
 }
 
 // Rows of ours in the store. The lease and the maps share a part, so that each change of a
@@ -73,7 +73,7 @@
 	log       Log
 	reader    *reader
 	// standing is what targets have said that they leave; the leading instance empties them.
-	standing *standing.Registry
+	standing *targetstatus.Registry
 	// quarantine is told and collected along with the reports.
 	quarantine *quarantine.Registry
 
@@ -143,7 +143,7 @@
 		config.Quarantine = quarantine.NewRegistry(time.Now)
 	}
 	if config.TargetStatus == nil {
-		config.TargetStatus = standing.NewRegistry(c, 0)
+		config.TargetStatus = targetstatus.NewRegistry(c, 0)
 	}
 	return &Coordinator{
 		config: config, clock: c, store: s, board: board, peers: peers, orders: orders,
--- a/coordination/permit/limit.go
+++ b/coordination/permit/limit.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 
 	"lycheehall.example/lycheehall/clock"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
 // A target in need says in its answers how many requests a second it takes from all instances together. Its
@@ -84,7 +84,7 @@
 }
 
 // noteLimits takes what an instance was told by targets of the pool.
-func (p *pool) noteLimits(list []standing.Limit, now clock.Instant) {
+func (p *pool) noteLimits(list []targetstatus.Limit, now clock.Instant) {
 	for _, l := range list {
 		if s := p.slots[l.Target]; s != nil {
 			s.heardLimit(l.PerSecond, now.Add(-l.Age), now)
--- a/coordination/permit/limit_test.go
+++ b/coordination/permit/limit_test.go
@@ -6,19 +6,19 @@
 	g "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
 var _ = g.Describe("a target that names a limit for all instances together", func() {
 	const perSecond = 1.5
 	named := func(age time.Duration) func(*Ask) {
-		return func(a *Ask) { a.Limits = []standing.Limit{{Target: "a", PerSecond: perSecond, Age: age}} }
+		return func(a *Ask) { a.Limits = []targetstatus.Limit{{Target: "a", PerSecond: perSecond, Age: age}} }
 	}
 	one := func() *fixture { return newFixture(Target{ID: "a", Slots: 6}) }
 	// spendAll uses what has been saved up in a pause.
 	spendAll := func(f *fixture) {
 		g.GinkgoHelper()
-		f.noteLimits([]standing.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
+		f.noteLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		f.now = f.now.Add(5 * time.Second)
 		for range leastBurst {
 			_, p, err := f.ask(nil)
@@ -95,7 +95,7 @@
 
 	g.It("has requests beyond it refused at once with when there is room (guards against callers held until their deadline)", func() {
 		f := one()
-		f.noteLimits([]standing.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
+		f.noteLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		_, _, err := f.ask(nil)
 		var refused *RefusedError
 		Expect(err).To(BeAssignableToTypeOf(refused))
@@ -104,7 +104,7 @@
 
 	g.It("leaves its turns to requests that are in time then (guards against late answers while more is asked than it takes)", func() {
 		f := one()
-		f.noteLimits([]standing.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
+		f.noteLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		inTime := func(a *Ask) { a.AimLeft = 800 * time.Millisecond }
 		late := func(a *Ask) { a.AimLeft = 700 * time.Millisecond }
 		_, _, err := f.ask(late)
@@ -122,7 +122,7 @@
 
 	g.It("leaves requests to others of its pool", func() {
 		f := newFixture(two(2)...)
-		f.noteLimits([]standing.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
+		f.noteLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		for range 2 {
 			_, p, err := f.ask(nil)
 			Expect(err).NotTo(HaveOccurred())
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lycheehall.example/lycheehall/clock"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
 // Ask is a request for a permit.
@@ -39,7 +39,7 @@
 	// time, since it may end each target that it reaches; 0: none has.
 	Suspect uint64
 	// Limits are the limits that targets of the pool have named to the asking instance.
-	Limits []standing.Limit
+	Limits []targetstatus.Limit
 }
 
 // Permit allows one request to be sent to a target.
--- a/coordination/standing/standing.go
+++ b/coordination/targetstatus/targetstatus.go
@@ -1,4 +1,4 @@
-// Package standing holds what targets say of themselves in their answers: that they leave, that they want
+// Package targetstatus holds what targets say of themselves in their answers: that they leave, that they want
 // nothing from an instance for a time, or how many requests they take from all instances together.
 //
 // The registry tells the first as well, but only as long as its store is there and the target reaches
@@ -11,7 +11,7 @@
 // sees all that goes there; see package permit.
 //
 // Lock order: the Registry's lock is a leaf.
-package standing
+package targetstatus
 
 import (
 	"slices"
--- a/coordination/standing/standing_test.go
+++ b/coordination/targetstatus/targetstatus_test.go
@@ -1,4 +1,4 @@
-package standing_test
+package targetstatus_test
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"lycheehall.example/lycheehall/clock"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
 func TestStanding(t *testing.T) {
@@ -29,11 +29,11 @@
 var _ = Describe("what targets say of themselves", func() {
 	var (
 		c *handClock
-		r *standing.Registry
+		r *targetstatus.Registry
 	)
 	BeforeEach(func() {
 		c = &handClock{now: clock.Instant(time.Hour)}
-		r = standing.NewRegistry(c, drain)
+		r = targetstatus.NewRegistry(c, drain)
 	})
 	all := func(string) bool { return true }
 	none := func(string) bool { return false }
@@ -49,7 +49,7 @@
 	})
 
 	It("is sent nothing from the first word on where it takes nothing", func() {
-		r = standing.NewRegistry(c, 0)
+		r = targetstatus.NewRegistry(c, 0)
 		r.RecordStatus("t", true, 0)
 		Expect(r.HasLeft("t")).To(BeTrue())
 	})
@@ -109,7 +109,7 @@
 		c.pass(time.Second)
 		r.RecordLimit("b", 3)
 		Expect(r.Limits(all)).To(ConsistOf(
-			standing.Limit{Target: "a", PerSecond: 1.5, Age: time.Second}, standing.Limit{Target: "b", PerSecond: 3},
+			targetstatus.Limit{Target: "a", PerSecond: 1.5, Age: time.Second}, targetstatus.Limit{Target: "b", PerSecond: 3},
 		))
 		Expect(r.Limits(none)).To(BeEmpty())
 		Expect(r.RecordLimit("a", 0)).To(Equal(1.5))
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -20,7 +20,7 @@
 	"lycheehall.example/lycheehall/coordination/lead"
 	"lycheehall.example/lycheehall/coordination/permit"
 	"lycheehall.example/lycheehall/coordination/quarantine"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 	"lycheehall.example/lycheehall/coordination/view"
 	"lycheehall.example/lycheehall/eventlog"
 	"lycheehall.example/lycheehall/protocol/peerapi"
@@ -70,7 +70,7 @@
 	board       *view.Board
 	broker      *broker
 	pool        *upstream.Pool
-	standing    *standing.Registry
+	standing    *targetstatus.Registry
 	quarantine  *quarantine.Registry
 	handler     *front.Handler
 	coordinator *lead.Coordinator
@@ -149,7 +149,7 @@
 	i.pool = upstream.NewPool()
 	collector := demand.NewCollector()
 	i.quarantine = quarantine.NewRegistry(time.Now)
-	i.standing = standing.NewRegistry(i.clock, time.Duration(i.settings.Drain))
+	i.standing = targetstatus.NewRegistry(i.clock, time.Duration(i.settings.Drain))
 	i.broker = newBroker(i.self, i.clock, i.board, i.peerClient, i.standing.Limited, i.log.Event)
 	i.budget = front.NewRetryBudget(i.clock, front.RetryBudgetConfig{
 		Ratio: i.settings.Retries.Ratio, Slack: i.settings.Retries.Slack, Window: time.Duration(i.settings.Retries.Window),
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -19,7 +19,7 @@
 	"lycheehall.example/lycheehall/coordination/demand"
 	"lycheehall.example/lycheehall/coordination/keyrange"
 	"lycheehall.example/lycheehall/coordination/permit"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 	"lycheehall.example/lycheehall/coordination/view"
 	"lycheehall.example/lycheehall/protocol/rules"
 	"lycheehall.example/lycheehall/protocol/wire"
@@ -167,7 +167,7 @@
 	f.board.SetInstances(view.InstancesVersion{Term: 1, Count: 1}, []view.Instance{{ID: "i"}})
 	f.own("k1", "", false)
 	budget := NewRetryBudget(clock.System{}, RetryBudgetConfig{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: standing.NewRegistry(f.said, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
+	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewRegistry(f.said, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
 		func(event string, fields ...any) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
--- a/transport/front/handler.go
+++ b/transport/front/handler.go
@@ -14,7 +14,7 @@
 	"lycheehall.example/lycheehall/coordination/demand"
 	"lycheehall.example/lycheehall/coordination/permit"
 	"lycheehall.example/lycheehall/coordination/quarantine"
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 	"lycheehall.example/lycheehall/coordination/view"
 	"lycheehall.example/lycheehall/protocol/wire"
 	"lycheehall.example/lycheehall/transport/upstream"
@@ -43,7 +43,7 @@
 	// Quarantine knows the requests that are to reach no target; nil: none are known from elsewhere.
 	Quarantine *quarantine.Registry
 	// TargetStatus is what targets have said of themselves; nil: nobody else of this process looks at it.
-	TargetStatus *standing.Registry
+	TargetStatus *targetstatus.Registry
 }
 
 // Handler is the HTTP handler for callers.
@@ -75,7 +75,7 @@
 		config.Quarantine = quarantine.NewRegistry(time.Now)
 	}
 	if config.TargetStatus == nil {
-		config.TargetStatus = standing.NewRegistry(c, 0)
+		config.TargetStatus = targetstatus.NewRegistry(c, 0)
 	}
 	h := &Handler{
 		config: config, clock: c, board: board, upstream: up, permits: permits, collector: collector,
--- a/transport/front/standing.go
+++ b/transport/front/standing.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"lycheehall.example/lycheehall/coordination/standing"
+	"lycheehall.example/lycheehall/coordination/targetstatus"
 	"lycheehall.example/lycheehall/coordination/view"
 	"lycheehall.example/lycheehall/transport/upstream"
 )
@@ -50,7 +50,7 @@
 
 // limits returns the limits that the owner of the key, or the targets of the service, have named to this
 // instance.
-func (c *call) limits(owner string) []standing.Limit {
+func (c *call) limits(owner string) []targetstatus.Limit {
 	return c.h.config.TargetStatus.Limits(func(id string) bool {
 		if owner != "" {
 			return id == owner
