--- a/protocol/rules/changes.go
+++ b/protocol/rules/changes.go
@@ -11,91 +11,96 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Changes turn one set into another: they say which runs of its rules stay, and what stands
-// between them. Passing on 4,200 rules of which one had changed took 0.4 MB to each instance,
-// and each of them 0.25 s of a core.
+// Changes is the difference between two sets: the runs of rules that are unchanged, and the rules
+// to insert between them. Instances exchange changes because sending a whole set of thousands of
+// rules to every instance costs too much bandwidth and CPU time when a single rule has changed.
 type Changes struct {
-	// Of identifies the names of the former set's rules and their order.
+	// Of is the hash of the previous set's rule names in order; see orderHash.
 	Of       uint64
 	Services []Service
-	// Runs give the rules of the new set in order.
-	Runs  []Run
+	// Runs lists the rules of the new set in order.
+	Runs []Run
+	// Notes are the warnings of the new set.
 	Notes Mistakes
 }
 
-// Run is a number of rules that follow each other.
+// Run is a run of unchanged rules, followed by new or changed ones.
 type Run struct {
-	// Kept is how many rules are those of the former set from From on.
+	// From is the index in the previous set of the first unchanged rule, Kept the number of
+	// consecutive unchanged rules.
 	From, Kept int
-	// Added come after them.
+	// Added are the new or changed rules that follow them.
 	Added []Rule
 }
 
-// errOtherSet says that changes were not made for the set that they were applied to.
-var errOtherSet = errors.New("rules: the changes are those of another set")
+// errWrongBase reports that changes were applied to a set that they were not computed from.
+var errWrongBase = errors.New("rules: the changes were computed from another set")
 
-// ChangesFrom returns what turns a former set into this one; nil: into it from nothing.
-func (s *Set) ChangesFrom(former *Set) Changes {
-	places := map[string]int{}
-	var before []*compiled
-	if former != nil {
-		before = former.rules
-		for place, r := range before {
-			places[r.rule.Name] = place
+// ChangesFrom returns the changes that turn previous into this set. A nil previous stands for the
+// empty set.
+func (s *Set) ChangesFrom(previous *Set) Changes {
+	indexByName := map[string]int{}
+	var previousRules []*compiledRule
+	if previous != nil {
+		previousRules = previous.rules
+		for index, r := range previousRules {
+			indexByName[r.rule.Name] = index
 		}
 	}
-	c := Changes{Of: order(before), Services: s.services, Notes: s.notes}
+	c := Changes{Of: orderHash(previousRules), Services: s.services, Notes: s.warnings}
 	for _, r := range s.rules {
-		place, known := places[r.rule.Name]
-		if known && r.same(before[place]) {
-			c.keep(place)
+		index, found := indexByName[r.rule.Name]
+		if found && r.equal(previousRules[index]) {
+			c.addKept(index)
 			continue
 		}
-		c.add(r.rule)
+		c.addNew(r.rule)
 	}
 	return c
 }
 
-// order identifies the names of rules and their order. An instance of another version of this
-// program may have read the same configuration in another order.
-func order(list []*compiled) uint64 {
+// orderHash hashes the names of rules in order. The order is included because an instance that runs
+// another version of this program may have read the same configuration in another order.
+func orderHash(list []*compiledRule) uint64 {
 	d := xxhash.New()
 	for _, r := range list {
-		// A Digest takes all that is written to it.
+		// Writes to a Digest never fail.
 		_, _ = d.WriteString(r.rule.Name)
 		_, _ = d.Write([]byte{0})
 	}
 	return d.Sum64()
 }
 
-// ReuseFrom returns the set with those rules of a former one that are the same, so that versions
-// which are kept beside each other take the space of what has changed.
-func (s *Set) ReuseFrom(former *Set) *Set {
-	shared, err := s.ChangesFrom(former).Apply(former)
+// ReuseFrom returns a set equal to this one that shares unchanged rules with previous, so that
+// several versions in memory only take additional space for the rules that differ.
+func (s *Set) ReuseFrom(previous *Set) *Set {
+	shared, err := s.ChangesFrom(previous).Apply(previous)
 	if err != nil {
-		// Not reached: the changes were made from this very set.
+		// Unreachable: the changes were computed from previous.
 		return s
 	}
 	return shared
 }
 
-// same reports whether two rules decide the same requests in the same way.
-func (r *compiled) same(other *compiled) bool {
+// equal reports whether two rules have the same definition.
+func (r *compiledRule) equal(other *compiledRule) bool {
 	return r == other || reflect.DeepEqual(&r.rule, &other.rule)
 }
 
-func (c *Changes) keep(place int) {
+// addKept appends an unchanged rule, given its index in the previous set.
+func (c *Changes) addKept(index int) {
 	if n := len(c.Runs); n > 0 {
 		last := &c.Runs[n-1]
-		if last.Added == nil && last.From+last.Kept == place {
+		if last.Added == nil && last.From+last.Kept == index {
 			last.Kept++
 			return
 		}
 	}
-	c.Runs = append(c.Runs, Run{From: place, Kept: 1})
+	c.Runs = append(c.Runs, Run{From: index, Kept: 1})
 }
 
-func (c *Changes) add(r Rule) {
+// addNew appends a new or changed rule.
+func (c *Changes) addNew(r Rule) {
 	if len(c.Runs) == 0 {
 		c.Runs = append(c.Runs, Run{})
 	}
@@ -103,52 +108,53 @@
 	last.Added = append(last.Added, r)
 }
 
-// Apply returns the set that changes turn a former one into; nil is the empty set. Rules that
-// stay are shared by both.
-func (c Changes) Apply(former *Set) (*Set, error) {
-	var before []*compiled
-	if former != nil {
-		before = former.rules
+// Apply returns the set that results from applying the changes to previous. A nil previous stands
+// for the empty set. Unchanged rules are shared by both sets. It returns an error if the changes
+// were computed from another set.
+func (c Changes) Apply(previous *Set) (*Set, error) {
+	var previousRules []*compiledRule
+	if previous != nil {
+		previousRules = previous.rules
 	}
-	if c.Of != order(before) {
-		return nil, errOtherSet
+	if c.Of != orderHash(previousRules) {
+		return nil, errWrongBase
 	}
-	s := &Set{services: c.Services, notes: c.Notes}
+	s := &Set{services: c.Services, warnings: c.Notes}
 	for _, run := range c.Runs {
-		if run.From < 0 || run.Kept < 0 || run.Kept > len(before)-run.From {
-			return nil, errOtherSet
+		if run.From < 0 || run.Kept < 0 || run.Kept > len(previousRules)-run.From {
+			return nil, errWrongBase
 		}
-		s.rules = append(s.rules, before[run.From:run.From+run.Kept]...)
+		s.rules = append(s.rules, previousRules[run.From:run.From+run.Kept]...)
 		for _, r := range run.Added {
 			s.rules = append(s.rules, compileRule(r))
 		}
 	}
-	s.index = indexOf(s.rules)
+	s.index = buildIndex(s.rules)
 	return s, nil
 }
 
-// Encode returns the changes in the form in which they are passed on, compressed: the rules of a
-// deployment are much alike, and 4,200 of them take a tenth of the space.
+// Encode returns the changes in the form that instances exchange. The encoding is compressed because
+// the rules of a deployment resemble each other and shrink to about a tenth of their size.
 func (c Changes) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("rules: changes: %w", err)
+		return nil, fmt.Errorf("rules: compress changes: %w", err)
 	}
 	if err := gob.NewEncoder(w).Encode(c); err != nil {
-		return nil, fmt.Errorf("rules: changes: %w", err)
+		return nil, fmt.Errorf("rules: encode changes: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, fmt.Errorf("rules: changes: %w", err)
+		return nil, fmt.Errorf("rules: compress changes: %w", err)
 	}
 	return b.Bytes(), nil
 }
 
-// DecodeChanges reads what Encode returned.
+// DecodeChanges decodes the output of Encode.
 func DecodeChanges(text []byte) (Changes, error) {
 	var c Changes
 	if err := gob.NewDecoder(flate.NewReader(bytes.NewReader(text))).Decode(&c); err != nil {
-		return Changes{}, fmt.Errorf("rules: changes: %w", err)
+		return Changes{}, fmt.Errorf("rules: decode changes: %w", err)
 	}
 	return c, nil
 }
--- a/protocol/rules/changes_test.go
+++ b/protocol/rules/changes_test.go
@@ -11,7 +11,8 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// passOn encodes the changes from one set to another, and applies them as another instance does.
+// passOn encodes the changes from one set to another, then decodes and applies them as a receiving
+// instance does. It returns the resulting set and the encoded size in bytes.
 func passOn(from, to *rules.Set) (*rules.Set, int) {
 	GinkgoHelper()
 	text, err := to.ChangesFrom(from).Encode()
@@ -23,7 +24,7 @@
 	return got, len(text)
 }
 
-// manyRules builds a set of rules that send to one service, but for the last one.
+// manyRules builds a set of rules that route to service s, except that the last one routes to last.
 func manyRules(count int, last string) *rules.Set {
 	GinkgoHelper()
 	var list []rules.Rule
@@ -36,8 +37,8 @@
 	return set
 }
 
-var _ = Describe("changes of a set", func() {
-	It("make the set that they were taken from, with all its fields", func() {
+var _ = Describe("changes between sets", func() {
+	It("reproduce the set that they were computed for, with all its fields", func() {
 		set, err := rules.Parse("example", examples.Rules)
 		Expect(err).NotTo(HaveOccurred())
 		set.AddWarnings(rules.Mistake{File: "f", Where: "rule 3", Message: "m"})
@@ -48,14 +49,14 @@
 		Expect(got.Decide(request("GET", "/plumbers/h-1")).Key).To(Equal("h-1"))
 	})
 
-	It("are as small as what has changed", func() {
+	It("are small if few rules have changed", func() {
 		got, size := passOn(manyRules(2000, "s"), manyRules(2000, "t"))
 		Expect(size).To(BeNumerically("<", 2<<10))
 		Expect(got.Decide(request("GET", "/p1999/x")).Rule).To(BeNil(), "another host")
 		Expect(got.Rules()[1999].Then.Route).To(Equal("t"))
 	})
 
-	It("keep the order whatever is added, removed, changed or moved", func() {
+	It("reproduce the order of rules after any additions, removals, changes and moves", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := func(label string) *rules.Set {
 				var list []rules.Rule
@@ -75,7 +76,7 @@
 		})
 	})
 
-	It("are refused by a set that they were not made for, or when they are cut short", func() {
+	It("are rejected if they were computed from another set, or are truncated", func() {
 		changes := manyRules(20, "t").ChangesFrom(manyRules(20, "s"))
 		_, err := changes.Apply(manyRules(3, "s"))
 		Expect(err).To(HaveOccurred())
--- a/protocol/rules/cover.go
+++ b/protocol/rules/cover.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// parsedWhen is a condition with its pattern; nil: it has none, or one that cannot be read.
+// parsedWhen is a condition with its parsed path pattern.
 type parsedWhen struct {
 	*When
+	// pattern is nil if the condition has no path pattern or an invalid one.
 	pattern pattern
 }
 
-// parseWhens reads the patterns of all rules once: reading them anew for each pair of 1,000 rules
-// took 0.2 s of a core.
+// parseWhens parses the patterns of all rules once, since covers is called for every pair of rules.
 func parseWhens(list []Rule) []parsedWhen {
 	out := make([]parsedWhen, len(list))
 	for i := range list {
@@ -25,8 +25,9 @@
 	return out
 }
 
-// covers reports whether a surely holds whenever b holds. It looks at the plain fields
-// only; where a combines conditions it says no, so it never accuses a rule wrongly.
+// covers reports whether a is certain to match whenever b matches. It compares the plain fields only,
+// and returns false if a uses All, Any or Not. So it may miss an unreachable rule, but never reports
+// a reachable one.
 func covers(a, b *parsedWhen) bool {
 	if len(a.All) > 0 || len(a.Any) > 0 || a.Not != nil {
 		return false
@@ -41,8 +42,7 @@
 		coversHeader(a.Header, b.Header)
 }
 
-// coversList reports whether every value that b lets through is in a. An empty list
-// lets everything through.
+// coversList reports whether a accepts every value that b accepts. An empty list accepts all values.
 func coversList(a, b []string) bool {
 	if len(a) == 0 {
 		return true
--- a/protocol/rules/index.go
+++ b/protocol/rules/index.go
@@ -2,139 +2,145 @@
 
 import "strings"
 
-// index finds the rules that can match a path without trying them all. It keeps each rule in
-// one list, so that it is made in time linear in the number of rules. A list of all that can
-// match for each first part of a path was made in time that grows with their square: 0.2 s of a
-// core for 4,200 rules.
+// index finds the rules that can match a path without trying all of them. Each rule is in exactly one
+// list, so the index is built in linear time. An index that lists, for each first segment, every rule
+// that can match takes quadratic time to build, which is too slow for thousands of rules.
 type index struct {
-	// byPrefix holds the rules that ask for whole parts at the beginning of the path.
-	byPrefix map[string][]placed
-	// byFirst holds the rules with a pattern that names the first part of the path, others the
-	// rest.
-	byFirst map[string]*lastIndex
-	others  lastIndex
+	// byPrefix holds the rules whose prefix consists of whole path segments.
+	byPrefix map[string][]indexedRule
+	// byFirstSegment holds the other rules by the literal that their path pattern begins with.
+	// anyFirstSegment holds those without such a literal.
+	byFirstSegment  map[string]*lastSegmentIndex
+	anyFirstSegment lastSegmentIndex
 }
 
-// lastIndex holds rules by the last part of the path. Two levels keep the lists that are tried
-// one by one short, also when many rules share their beginning.
-type lastIndex struct {
-	byLast map[string][]placed
-	others []placed
+// lastSegmentIndex holds rules by the literal that their path pattern ends with. This second level
+// keeps the lists short when many rules share their first segment.
+type lastSegmentIndex struct {
+	byLastSegment map[string][]indexedRule
+	// anyLastSegment holds the rules whose pattern does not end with a literal.
+	anyLastSegment []indexedRule
 }
 
-// placed is a rule with its place among the rules of its set, from 0.
-type placed struct {
-	*compiled
-	place int
+// indexedRule is a rule with its position in the set, from 0.
+type indexedRule struct {
+	*compiledRule
+	position int
 }
 
-// indexedDepth is the number of slashes in a prefix up to which it is looked up as a whole.
-// Operators' prefixes have one or two parts.
-const indexedDepth = 6
+// maxIndexedSlashes is the largest number of slashes in a prefix that byPrefix holds. The prefixes
+// that operators write have one or two segments.
+const maxIndexedSlashes = 6
 
-func indexOf(list []*compiled) *index {
-	x := &index{byPrefix: map[string][]placed{}, byFirst: map[string]*lastIndex{}}
-	for place, r := range list {
-		p := placed{r, place}
-		if prefix := r.when.prefix; len(r.when.path) == 0 && lookedUp(prefix) {
+func buildIndex(list []*compiledRule) *index {
+	x := &index{byPrefix: map[string][]indexedRule{}, byFirstSegment: map[string]*lastSegmentIndex{}}
+	for position, r := range list {
+		p := indexedRule{r, position}
+		if prefix := r.when.prefix; len(r.when.path) == 0 && indexablePrefix(prefix) {
 			x.byPrefix[prefix] = append(x.byPrefix[prefix], p)
 			continue
 		}
-		x.lastIndexFor(r.first()).add(r.last(), p)
+		x.forFirstSegment(r.firstLiteral()).add(r.lastLiteral(), p)
 	}
 	return x
 }
 
-// lookedUp reports whether a prefix consists of whole parts, and not of too many.
-func lookedUp(prefix string) bool {
-	return strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/") && strings.Count(prefix, "/") <= indexedDepth
+// indexablePrefix reports whether a prefix consists of whole segments, and of few enough of them to
+// be looked up in byPrefix.
+func indexablePrefix(prefix string) bool {
+	return strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/") && strings.Count(prefix, "/") <= maxIndexedSlashes
 }
 
-func (x *index) lastIndexFor(first string) *lastIndex {
+// forFirstSegment returns the second level for a first segment, and creates it if needed. An empty
+// first stands for any first segment.
+func (x *index) forFirstSegment(first string) *lastSegmentIndex {
 	if first == "" {
-		return &x.others
+		return &x.anyFirstSegment
 	}
-	found := x.byFirst[first]
+	found := x.byFirstSegment[first]
 	if found == nil {
-		found = &lastIndex{}
-		x.byFirst[first] = found
+		found = &lastSegmentIndex{}
+		x.byFirstSegment[first] = found
 	}
 	return found
 }
 
-func (x *lastIndex) add(last string, r placed) {
+func (x *lastSegmentIndex) add(last string, r indexedRule) {
 	if last == "" {
-		x.others = append(x.others, r)
+		x.anyLastSegment = append(x.anyLastSegment, r)
 		return
 	}
-	if x.byLast == nil {
-		x.byLast = map[string][]placed{}
+	if x.byLastSegment == nil {
+		x.byLastSegment = map[string][]indexedRule{}
 	}
-	x.byLast[last] = append(x.byLast[last], r)
+	x.byLastSegment[last] = append(x.byLastSegment[last], r)
 }
 
-// first returns the first part of the rule's path, if its pattern names one.
-func (r *compiled) first() string {
+// firstLiteral returns the first segment of the rule's pattern if it is a literal, or "".
+func (r *compiledRule) firstLiteral() string {
 	if len(r.when.path) == 0 || r.when.path[0].kind != literal {
 		return ""
 	}
 	return r.when.path[0].text
 }
 
-// last returns the last part of the rule's path, if its pattern names one.
-func (r *compiled) last() string {
+// lastLiteral returns the last segment of the rule's pattern if it is a literal, or "".
+func (r *compiledRule) lastLiteral() string {
 	if len(r.when.path) == 0 || r.when.path[len(r.when.path)-1].kind != literal {
 		return ""
 	}
 	return r.when.path[len(r.when.path)-1].text
 }
 
-// candidates are lists of rules, each in order, that are gone through in the order of all.
+// candidates iterates over the union of several lists of rules in the order of the set. Each list is
+// in that order itself.
 type candidates struct {
-	lists [indexedDepth + 4][]placed
+	// lists holds count lists that are not empty: at most one for each number of slashes in byPrefix,
+	// and four of the segment indexes.
+	lists [maxIndexedSlashes + 4][]indexedRule
 	count int
 }
 
-func (c *candidates) add(list []placed) {
+func (c *candidates) add(list []indexedRule) {
 	if len(list) > 0 {
 		c.lists[c.count] = list
 		c.count++
 	}
 }
 
-// candidates returns the rules that can match a path.
-func (x *index) candidates(path *parts) (c candidates) {
-	c.add(x.others.others)
+// candidates returns the rules that may match a path; all other rules cannot.
+func (x *index) candidates(path *pathSegments) (c candidates) {
+	c.add(x.anyFirstSegment.anyLastSegment)
 	if path.count == 0 {
 		return c
 	}
-	for i := range min(path.count, indexedDepth) {
+	for i := range min(path.count, maxIndexedSlashes) {
 		c.add(x.byPrefix[path.path[:path.offset[i]]])
 	}
 	last := path.text[path.count-1]
-	c.add(x.others.byLast[last])
-	if named := x.byFirst[path.text[0]]; named != nil {
-		c.add(named.others)
-		c.add(named.byLast[last])
+	c.add(x.anyFirstSegment.byLastSegment[last])
+	if level := x.byFirstSegment[path.text[0]]; level != nil {
+		c.add(level.anyLastSegment)
+		c.add(level.byLastSegment[last])
 	}
 	return c
 }
 
-// next takes the first of the rules that are left; nil: there is none.
-func (c *candidates) next() *placed {
+// next removes and returns the first remaining rule, or nil if there is none.
+func (c *candidates) next() *indexedRule {
 	if c.count == 0 {
 		return nil
 	}
 	first := 0
 	for i := 1; i < c.count; i++ {
-		if c.lists[i][0].place < c.lists[first][0].place {
+		if c.lists[i][0].position < c.lists[first][0].position {
 			first = i
 		}
 	}
-	found := &c.lists[first][0]
+	rule := &c.lists[first][0]
 	if c.lists[first] = c.lists[first][1:]; len(c.lists[first]) == 0 {
 		c.count--
 		c.lists[first] = c.lists[c.count]
 	}
-	return found
+	return rule
 }
--- a/protocol/rules/match.go
+++ b/protocol/rules/match.go
@@ -13,9 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// anyValue in a header condition asks only that the header is there.
+// anyValue in a header condition matches any value, as long as the header is present.
 const anyValue = "*"
 
+// keySource is the part of a request that holds the key.
 type keySource uint8
 
 const (
@@ -23,10 +24,11 @@
 	fromPath
 	fromHeader
 	fromQuery
-	// fromNumber is a header that holds the number of the key itself.
+	// fromNumber is a header that holds the key number itself.
 	fromNumber
 )
 
+// parseKey parses a key expression such as "path:NAME".
 func parseKey(text string) (keySource, string, bool) {
 	kind, name, found := strings.Cut(text, ":")
 	sources := map[string]keySource{"path": fromPath, "header": fromHeader, "query": fromQuery, "number": fromNumber}
@@ -34,22 +36,22 @@
 	return source, name, found && name != "" && source != noKey
 }
 
-// Set is a checked configuration, ready to decide requests.
+// Set is a checked configuration in the form that requests are matched against.
 type Set struct {
 	services []Service
-	rules    []*compiled
+	rules    []*compiledRule
 	index    *index
-	notes    Mistakes
+	warnings Mistakes
 }
 
-// AddWarnings adds to what was not understood of the configuration.
-func (s *Set) AddWarnings(m ...Mistake) { s.notes = append(s.notes, m...) }
+// AddWarnings adds mistakes in parts of the configuration that could not be used.
+func (s *Set) AddWarnings(m ...Mistake) { s.warnings = append(s.warnings, m...) }
 
-// Warnings are what was not understood of a configuration that is used all the same.
-func (s *Set) Warnings() Mistakes { return s.notes }
+// Warnings returns the mistakes in a configuration that is in use in spite of them.
+func (s *Set) Warnings() Mistakes { return s.warnings }
 
-// compiled is a rule in the form that requests are matched against.
-type compiled struct {
+// compiledRule is a rule in the form that requests are matched against.
+type compiledRule struct {
 	rule      Rule
 	when      condition
 	keySource keySource
@@ -73,40 +75,42 @@
 
 type headerCondition struct{ name, value string }
 
-// Request is what rules look at.
+// Request holds the properties of a request that conditions refer to.
 type Request struct {
-	Method     string
-	Host       string
-	URL        *url.URL
-	Header     http.Header
-	Caller     string
+	Method string
+	Host   string
+	URL    *url.URL
+	Header http.Header
+	Caller string
+	// DataCentre is the instance's own data centre.
 	DataCentre string
 }
 
-// Decision is what the first matching rule says about a request.
+// Decision is the outcome of matching a request against the rules.
 type Decision struct {
-	// Rule is nil when no rule matches.
+	// Rule is the first rule that matches, or nil if none does.
 	Rule *Rule
-	// Index is the rule's place in the file, from 0.
+	// Index is the rule's position in the set from 0, or -1 without a rule.
 	Index int
-	// Keyed says that the rule asks for a key; Key is empty when the request has none.
+	// Keyed reports whether the rule takes a key from the request. Key is empty if the request has no
+	// key, or several.
 	Keyed bool
 	Key   string
-	// KeyIsNumber says that Key is the number of the key, not a text to be hashed.
+	// KeyIsNumber reports whether Key is the key number itself, rather than a text to be hashed.
 	KeyIsNumber bool
 }
 
 func compile(f *file) *Set {
-	s := &Set{services: f.Service, rules: make([]*compiled, len(f.Rule))}
+	s := &Set{services: f.Service, rules: make([]*compiledRule, len(f.Rule))}
 	for i := range f.Rule {
 		s.rules[i] = compileRule(f.Rule[i])
 	}
-	s.index = indexOf(s.rules)
+	s.index = buildIndex(s.rules)
 	return s
 }
 
-func compileRule(r Rule) *compiled {
-	c := &compiled{rule: r, when: compileWhen(&r.When)}
+func compileRule(r Rule) *compiledRule {
+	c := &compiledRule{rule: r, when: compileWhen(&r.When)}
 	if source, name, ok := parseKey(r.Then.Key); ok {
 		c.keySource = source
 		c.keyName = name
@@ -121,7 +125,7 @@
 func compileWhen(w *When) condition {
 	c := condition{method: w.Method, service: w.Service, host: w.Host, caller: w.Caller, dataCentre: w.DataCentre, prefix: w.Prefix}
 	if w.Path != "" {
-		// The pattern has been checked.
+		// The checker has reported invalid patterns.
 		c.path, _ = parsePattern(w.Path)
 	}
 	for name, value := range w.Header {
@@ -140,11 +144,11 @@
 	return c
 }
 
-// KeySpace is the count of key numbers.
+// KeySpace is the number of key numbers.
 const KeySpace = 1 << 16
 
-// KeyNumber returns the number of the decision's key: the key itself where the rule says
-// that it is a number, a hash of it elsewhere.
+// KeyNumber returns the key number of the decision: the key itself if KeyIsNumber, and a hash of it
+// otherwise. It returns false if there is no key, or if the key is not a valid number.
 func (d Decision) KeyNumber() (uint16, bool) {
 	if d.Key == "" {
 		return 0, false
@@ -156,22 +160,23 @@
 	return uint16(n), err == nil
 }
 
-// Decide returns what the first matching rule says.
+// Decide matches a request against the rules in order.
 func (s *Set) Decide(r *Request) Decision {
-	var path parts
+	var path pathSegments
 	path.split(r.URL.Path)
 	var v variables
-	left := s.index.candidates(&path)
-	for c := left.next(); c != nil; c = left.next() {
-		if c.when.holds(r, &path, &v) {
+	remaining := s.index.candidates(&path)
+	for c := remaining.next(); c != nil; c = remaining.next() {
+		if c.when.matches(r, &path, &v) {
 			return c.decide(r, &v)
 		}
 	}
 	return Decision{Index: -1}
 }
 
-func (c *placed) decide(r *Request, v *variables) Decision {
-	d := Decision{Rule: &c.rule, Index: c.place, Keyed: c.keySource != noKey, KeyIsNumber: c.keySource == fromNumber}
+// decide returns the decision for a request that the rule matches; v holds the path variables.
+func (c *indexedRule) decide(r *Request, v *variables) Decision {
+	d := Decision{Rule: &c.rule, Index: c.position, Keyed: c.keySource != noKey, KeyIsNumber: c.keySource == fromNumber}
 	switch c.keySource {
 	case fromPath:
 		d.Key = v.values[c.keyIndex]
@@ -187,56 +192,60 @@
 	return d
 }
 
-// holds reports whether the condition holds; v gets the variables of its own path.
-func (c *condition) holds(r *Request, path *parts, v *variables) bool {
+// matches reports whether the request fulfils the condition. It stores the variables of the
+// condition's own path pattern in v.
+func (c *condition) matches(r *Request, path *pathSegments, v *variables) bool {
 	if len(c.path) > 0 && !c.path.match(path, v) {
 		return false
 	}
 	if !strings.HasPrefix(path.path, c.prefix) {
 		return false
 	}
-	if !among(c.method, r.Method) || !among(c.caller, r.Caller) || !among(c.dataCentre, r.DataCentre) {
+	if !emptyOrContains(c.method, r.Method) || !emptyOrContains(c.caller, r.Caller) || !emptyOrContains(c.dataCentre, r.DataCentre) {
 		return false
 	}
-	if len(c.host) > 0 && !among(c.host, hostname(r.Host)) {
+	if len(c.host) > 0 && !emptyOrContains(c.host, hostname(r.Host)) {
 		return false
 	}
-	if len(c.service) > 0 && !among(c.service, addressed(r.Host)) {
+	if len(c.service) > 0 && !emptyOrContains(c.service, serviceFromHost(r.Host)) {
 		return false
 	}
 	for _, h := range c.header {
-		if !h.holds(r.Header) {
+		if !h.matches(r.Header) {
 			return false
 		}
 	}
-	return c.combined(r, path)
+	return c.matchesCombined(r, path)
 }
 
-func (c *condition) combined(r *Request, path *parts) bool {
+// matchesCombined evaluates the nested conditions all, any and not.
+func (c *condition) matchesCombined(r *Request, path *pathSegments) bool {
 	var scratch variables
 	for i := range c.all {
-		if !c.all[i].holds(r, path, &scratch) {
+		if !c.all[i].matches(r, path, &scratch) {
 			return false
 		}
 	}
-	if c.not != nil && c.not.holds(r, path, &scratch) {
+	if c.not != nil && c.not.matches(r, path, &scratch) {
 		return false
 	}
 	if len(c.any) == 0 {
 		return true
 	}
 	for i := range c.any {
-		if c.any[i].holds(r, path, &scratch) {
+		if c.any[i].matches(r, path, &scratch) {
 			return true
 		}
 	}
 	return false
 }
 
-func among(list []string, v string) bool {
+// emptyOrContains reports whether a condition's list accepts a value; an empty list accepts all.
+func emptyOrContains(list []string, v string) bool {
 	return len(list) == 0 || slices.Contains(list, v)
 }
 
+// hostname returns a host without its port.
 func hostname(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
@@ -244,13 +253,13 @@
 	return host
 }
 
-// addressed returns the service that the host name names.
-func addressed(host string) string {
+// serviceFromHost returns the service that a caller addresses: the first label of the host name.
+func serviceFromHost(host string) string {
 	name, _, _ := strings.Cut(hostname(host), ".")
 	return name
 }
 
-func (h headerCondition) holds(header http.Header) bool {
+func (h headerCondition) matches(header http.Header) bool {
 	values := header[h.name]
 	if h.value == anyValue {
 		return len(values) > 0
@@ -258,7 +267,7 @@
 	return slices.Contains(values, h.value)
 }
 
-// Services returns the services in the order of the file.
+// Services returns the services in the order of the configuration.
 func (s *Set) Services() []Service { return s.services }
 
 // Service returns the service with the given name, or nil.
@@ -279,7 +288,7 @@
 	return out
 }
 
-// All gives the rules in order, which must not be changed.
+// All iterates over the rules in order. The caller must not modify them.
 func (s *Set) All() iter.Seq[*Rule] {
 	return func(yield func(*Rule) bool) {
 		for _, r := range s.rules {
@@ -290,5 +299,5 @@
 	}
 }
 
-// Deadline returns the time that a rule gives to a whole request.
+// Deadline returns the time limit for a whole request, including all attempts.
 func (r *Rule) Deadline() time.Duration { return time.Duration(r.Then.Deadline) }
--- a/protocol/rules/parse.go
+++ b/protocol/rules/parse.go
@@ -10,27 +10,26 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxTextBytes is the largest configuration accepted, in bytes.
+// MaxTextBytes is the largest accepted size of a configuration.
 const MaxTextBytes = 256 << 10
 
-// Parse reads and checks a configuration. name is used in mistakes. The error is of
-// type Mistakes and lists everything found.
+// Parse parses and checks a configuration. name is the file name in mistakes. The error is of type
+// Mistakes and lists all of them.
 func Parse(name, text string) (*Set, error) {
 	if len(text) > MaxTextBytes {
 		return nil, Mistakes{{File: name, Message: fmt.Sprintf("the file has %d bytes; at most %d are accepted", len(text), MaxTextBytes)}}
 	}
 	var f file
 	mistakes := decode(name, text, &f)
-	mistakes = append(mistakes, check(name, text, &f).checkText(&f)...)
+	mistakes = append(mistakes, check(name, text, &f).checkFile(&f)...)
 	if len(mistakes) > 0 {
 		return nil, mistakes
 	}
 	return compile(&f), nil
 }
 
-// Build checks a configuration that was read from another format. Rules that can never
-// match are accepted: where they are made by a program, looking at each pair costs more
-// than it tells.
+// Build checks a configuration that was read from another format. Unlike Parse it accepts rules that
+// can never match: for generated rules the check, which compares every pair, is not worth its cost.
 func Build(name string, services []Service, list []Rule) (*Set, error) {
 	f := &file{Service: services, Rule: list}
 	if mistakes := check(name, "", f).mistakes; len(mistakes) > 0 {
@@ -39,49 +38,50 @@
 	return compile(f), nil
 }
 
-// What a caller is told whose rule cannot be used, and when to come back: operators who see it
-// need some seconds to put another configuration into force.
+// The message and Retry-After of the answer to a request whose rule could not be understood.
+// Operators who notice it need a few seconds to apply another configuration.
 const (
 	RuleNotUnderstood           = "rule-not-understood"
 	RuleNotUnderstoodRetryAfter = Duration(5 * time.Second)
 )
 
-// BuildLenient is Build for a configuration that others have accepted, and that must be used as
-// far as it goes: a mistake in one rule keeps its own requests unserved, refused as not run, and
-// is told by Notes. The error says that rules or services contradict each other: two have one
-// name.
+// BuildLenient is like Build, for a configuration that another system has already accepted and that
+// must be used as far as possible. A rule with a mistake refuses all requests that it matches, so that
+// they are known not to have run, and the mistake is added to the set's warnings. An error is returned
+// only for conflicts between rules or services: two have the same name.
 //
-// One rule of a kind that was not known once refused the whole, so that nothing was served at
-// all.
+// Without it, a single rule of an unknown kind invalidates the whole configuration, and no request
+// is served at all.
 func BuildLenient(name string, services []Service, list []Rule) (*Set, error) {
 	f := &file{Service: services, Rule: list}
-	c, notes := checkEach(name, f)
-	if len(c.contradictions) > 0 {
-		return nil, c.contradictions
+	c, notes := checkAndRefuseInvalid(name, f)
+	if len(c.conflicts) > 0 {
+		return nil, c.conflicts
 	}
 	s := compile(f)
 	s.AddWarnings(notes...)
 	return s, nil
 }
 
-// checkEach checks all rules, and makes those with mistakes of their own refuse.
-func checkEach(name string, f *file) (*checker, Mistakes) {
-	c := &checker{name: name, services: map[string]*Service{}}
+// checkAndRefuseInvalid checks all services and rules, and makes rules with mistakes refuse all
+// requests that they match.
+func checkAndRefuseInvalid(name string, f *file) (*checker, Mistakes) {
+	c := &checker{fileName: name, services: map[string]*Service{}}
 	for i := range f.Service {
-		c.service(i, &f.Service[i])
+		c.checkService(i, &f.Service[i])
 	}
 	names := map[string]int{}
 	for i := range f.Rule {
-		before := len(c.mistakes)
-		c.rule(i, &f.Rule[i], names)
-		if len(c.mistakes) > before {
+		mistakesBefore := len(c.mistakes)
+		c.checkRule(i, &f.Rule[i], names)
+		if len(c.mistakes) > mistakesBefore {
 			f.Rule[i].Then = Then{Refuse: &Refuse{Status: http.StatusServiceUnavailable, Message: RuleNotUnderstood, RetryAfter: RuleNotUnderstoodRetryAfter}}
 		}
 	}
 	return c, c.mistakes
 }
 
-// decode reads the text and reports syntax errors, wrong types and unknown fields.
+// decode parses the text and returns syntax errors, wrong types and unknown fields as mistakes.
 func decode(name, text string, f *file) Mistakes {
 	dec := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields()
 	err := dec.Decode(f)
@@ -92,14 +92,15 @@
 	if errors.As(err, &strict) {
 		return unknownFields(name, text, strict)
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return Mistakes{{File: name, Line: line, Where: whereAt(text, line), Field: strings.Join(bad.Key(), "."), Message: bad.Error()}}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return Mistakes{{File: name, Line: line, Where: whereAt(text, line), Field: strings.Join(decodeErr.Key(), "."), Message: decodeErr.Error()}}
 	}
 	return Mistakes{{File: name, Message: err.Error()}}
 }
 
+// unknownFields returns a mistake for each field that is not part of the format.
 func unknownFields(name, text string, strict *toml.StrictMissingError) Mistakes {
 	var out Mistakes
 	for i := range strict.Errors {
@@ -110,13 +111,13 @@
 			Line:    line,
 			Where:   whereAt(text, line),
 			Field:   strings.Join(e.Key(), "."),
-			Message: "unknown field; see docs/RULES.md for the fields there are",
+			Message: "unknown field; see docs/RULES.md for the list of fields",
 		})
 	}
 	return out
 }
 
-// whereAt names the service or rule that a line belongs to.
+// whereAt returns the service or rule that a line belongs to, such as "rule 3".
 func whereAt(text string, line int) string {
 	counts := map[string]int{}
 	where := ""
@@ -134,7 +135,7 @@
 	return where
 }
 
-// lineOf returns the line at which the n-th table (counted from 0) begins, or 0.
+// lineOf returns the line, from 1, at which the n-th table (from 0) begins, or 0 if there is none.
 func lineOf(text, table string, n int) int {
 	for i, l := range strings.Split(text, "\n") {
 		if !strings.HasPrefix(strings.TrimSpace(l), "[["+table+"]]") {
--- a/protocol/rules/pattern.go
+++ b/protocol/rules/pattern.go
@@ -6,26 +6,31 @@
 	"strings"
 )
 
-// maxVariables is how many variables a pattern may have.
+// maxVariables is the largest number of variables in a pattern.
 const maxVariables = 8
 
 type segmentKind uint8
 
 const (
+	// literal matches one segment with exactly this text.
 	literal segmentKind = iota
+	// variable, written {name}, matches one segment that is not empty.
 	variable
+	// remainder, written {name...}, matches the rest of the path.
 	remainder
 )
 
-type segment struct {
+// patternSegment is the part of a pattern between two slashes.
+type patternSegment struct {
 	kind segmentKind
+	// text is the literal, or the name of the variable.
 	text string
 }
 
 // pattern is a parsed path pattern.
-type pattern []segment
+type pattern []patternSegment
 
-// parsePattern reads /literal/{variable}/{rest...}.
+// parsePattern parses a pattern such as /literal/{variable}/{rest...}.
 func parsePattern(text string) (pattern, error) {
 	if !strings.HasPrefix(text, "/") {
 		return nil, fmt.Errorf("the pattern %q must begin with /", text)
@@ -43,14 +48,14 @@
 		}
 		if s.kind != literal {
 			if slices.Contains(names, s.text) {
-				return nil, fmt.Errorf("the pattern %q: {%s} stands twice", text, s.text)
+				return nil, fmt.Errorf("the pattern %q: {%s} appears twice", text, s.text)
 			}
 			names = append(names, s.text)
 		}
 		p = append(p, s)
 	}
-	if len(p) >= maxParts {
-		return nil, fmt.Errorf("the pattern %q has %d parts; at most %d are accepted", text, len(p), maxParts-1)
+	if len(p) >= maxSegments {
+		return nil, fmt.Errorf("the pattern %q has %d segments; at most %d are accepted", text, len(p), maxSegments-1)
 	}
 	if len(names) > maxVariables {
 		return nil, fmt.Errorf("the pattern %q has %d variables; at most %d are accepted", text, len(names), maxVariables)
@@ -58,9 +63,9 @@
 	return p, nil
 }
 
-func parseSegment(part string) (segment, error) {
+func parseSegment(part string) (patternSegment, error) {
 	if !strings.ContainsAny(part, "{}") {
-		return segment{literal, part}, nil
+		return patternSegment{literal, part}, nil
 	}
 	name, ok := strings.CutPrefix(part, "{")
 	if ok {
@@ -72,9 +77,9 @@
 		kind = remainder
 	}
 	if !ok || name == "" || strings.ContainsAny(name, "{}") {
-		return segment{}, fmt.Errorf("%q is neither plain text nor {name} nor {name...}", part)
+		return patternSegment{}, fmt.Errorf("%q is neither plain text nor {name} nor {name...}", part)
 	}
-	return segment{kind, name}, nil
+	return patternSegment{kind, name}, nil
 }
 
 func hasVariable(path, name string) bool {
@@ -82,35 +87,37 @@
 	if err != nil {
 		return false
 	}
-	return slices.ContainsFunc(p, func(s segment) bool { return s.kind != literal && s.text == name })
+	return slices.ContainsFunc(p, func(s patternSegment) bool { return s.kind != literal && s.text == name })
 }
 
-// variables holds the values that a path gave to a pattern's variables, in order.
+// variables holds the values of a pattern's variables in a path, in the order of the pattern.
 type variables struct {
 	values [maxVariables]string
 	count  int
 }
 
-// maxParts is how many parts of a path are told apart; the last one holds what is left.
-const maxParts = 24
+// maxSegments is the largest number of segments that a path is split into. The last one holds the
+// rest of a longer path.
+const maxSegments = 24
 
-// parts is a path cut at its slashes, once for all rules.
-type parts struct {
-	path   string
-	text   [maxParts]string
-	offset [maxParts]int
+// pathSegments is a path split at its slashes. A request's path is split once for all rules.
+type pathSegments struct {
+	path string
+	// text holds the first count segments, offset the index in path at which each begins.
+	text   [maxSegments]string
+	offset [maxSegments]int
 	count  int
 }
 
-// split cuts the path. A path that does not begin with a slash has no parts.
-func (p *parts) split(path string) {
+// split splits a path into p. A path that does not begin with a slash has no segments.
+func (p *pathSegments) split(path string) {
 	p.path = path
 	p.count = 0
 	if path == "" || path[0] != '/' {
 		return
 	}
 	start := 1
-	for i := 1; i <= len(path) && p.count < maxParts-1; i++ {
+	for i := 1; i <= len(path) && p.count < maxSegments-1; i++ {
 		if i == len(path) || path[i] == '/' {
 			p.add(path[start:i], start)
 			start = i + 1
@@ -121,14 +128,15 @@
 	}
 }
 
-func (p *parts) add(text string, offset int) {
+func (p *pathSegments) add(text string, offset int) {
 	p.text[p.count] = text
 	p.offset[p.count] = offset
 	p.count++
 }
 
-// match reports whether the path has the form of the pattern. It allocates nothing.
-func (p pattern) match(path *parts, v *variables) bool {
+// match reports whether the path matches the pattern, and stores the variables' values in v. It does
+// not allocate memory.
+func (p pattern) match(path *pathSegments, v *variables) bool {
 	v.count = 0
 	if path.count < len(p) || path.count > len(p) && p[len(p)-1].kind != remainder {
 		return false
@@ -142,7 +150,7 @@
 				return false
 			}
 		case variable:
-			if text == "" || i == maxParts-1 && strings.Contains(text, "/") {
+			if text == "" || i == maxSegments-1 && strings.Contains(text, "/") {
 				return false
 			}
 			v.add(text)
@@ -158,7 +166,7 @@
 	v.count++
 }
 
-// index returns the position of a variable among those of the pattern, or -1.
+// index returns the position of a variable among the pattern's variables, or -1.
 func (p pattern) index(name string) int {
 	i := 0
 	for _, s := range p {
@@ -173,7 +181,7 @@
 	return -1
 }
 
-// covers reports whether every path of the form q also has the form p.
+// covers reports whether every path that matches q also matches p.
 func (p pattern) covers(q pattern) bool {
 	for i, s := range p {
 		if s.kind == remainder {
--- a/protocol/rules/rules_test.go
+++ b/protocol/rules/rules_test.go
@@ -18,7 +18,7 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func TestRules(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -36,7 +36,7 @@
 }
 
 var _ = Describe("a configuration", func() {
-	It("accepts the example", func() {
+	It("is accepted if it is the example", func() {
 		set, err := rules.Parse("example", examples.Rules)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Rules()).To(HaveLen(8))
@@ -44,7 +44,7 @@
 		Expect(set.Service("bookings").Imbalance).To(Equal(rules.DefaultImbalance))
 	})
 
-	It("reports every mistake at once, with file, line, rule and field", func() {
+	It("is rejected with all mistakes at once, each with file, line, rule and field", func() {
 		text, err := os.ReadFile("testdata/mistakes.toml")
 		Expect(err).NotTo(HaveOccurred())
 		_, err = rules.Parse("mistakes.toml", string(text))
@@ -57,12 +57,12 @@
 		Expect(err.Error() + "\n").To(Equal(string(want)))
 	})
 
-	It("reports a syntax error with its line", func() {
+	It("is rejected with the line of a syntax error", func() {
 		_, err := rules.Parse("f", "[[rule]]\nname = \n")
 		Expect(err).To(MatchError(ContainSubstring("f:2: rule 1")))
 	})
 
-	It("refuses a text that is too large", func() {
+	It("is rejected if the text is too large", func() {
 		_, err := rules.Parse("f", strings.Repeat("#", rules.MaxTextBytes+1))
 		Expect(err).To(MatchError(ContainSubstring("at most")))
 	})
@@ -100,7 +100,7 @@
 then = { refuse = { status = 403 } }
 `
 
-var _ = DescribeTable("the first matching rule decides",
+var _ = DescribeTable("the first matching rule determines the decision",
 	func(r func() *rules.Request, rule, key string) {
 		set, err := rules.Parse("f", decideRules)
 		Expect(err).NotTo(HaveOccurred())
@@ -127,11 +127,11 @@
 	Entry("another service", func() *rules.Request { return request("GET", "/s") }, "", ""),
 	Entry("two values give no key", func() *rules.Request { return request("GET", "/q?id=5&id=6") }, "query", ""),
 	Entry("any of several", func() *rules.Request { return request("GET", "/e") }, "either", ""),
-	Entry("but not", func() *rules.Request { return request("DELETE", "/e") }, "", ""),
+	Entry("excluded by not", func() *rules.Request { return request("DELETE", "/e") }, "", ""),
 	Entry("all of several", func() *rules.Request { return request("GET", "/b/c") }, "both", ""),
 )
 
-var _ = DescribeTable("a rule that an earlier one always decides is reported",
+var _ = DescribeTable("a rule that an earlier rule makes unreachable is reported",
 	func(first, second string, unreachable bool) {
 		text := fmt.Sprintf("[[rule]]\nname = \"1\"\nwhen = { %s }\nthen = { refuse = { status = 400 } }\n"+
 			"[[rule]]\nname = \"2\"\nwhen = { %s }\nthen = { refuse = { status = 400 } }\n", first, second)
@@ -149,11 +149,11 @@
 	Entry("more methods", `method = ["GET", "POST"]`, `method = ["GET"]`, true),
 	Entry("fewer methods", `method = ["GET"]`, `method = ["GET", "POST"]`, false),
 	Entry("another path", `path = "/a"`, `path = "/{x}"`, false),
-	Entry("a header more", `header = { a = "1" }`, `path = "/a"`, false),
-	Entry("a condition that is combined", `not = { path = "/b" }`, `path = "/a"`, false),
+	Entry("an additional header", `header = { a = "1" }`, `path = "/a"`, false),
+	Entry("a nested condition", `not = { path = "/b" }`, `path = "/a"`, false),
 )
 
-// FuzzParse feeds the parser whatever text: it answers with a set or with mistakes.
+// FuzzParse checks that Parse returns either a set or an error for any text.
 func FuzzParse(f *testing.F) {
 	f.Add(examples.Rules)
 	f.Add(decideRules)
@@ -167,7 +167,7 @@
 	})
 }
 
-// FuzzDecide feeds the matching whatever path and query.
+// FuzzDecide checks that Decide handles any path and query, and that a path variable is never empty.
 func FuzzDecide(f *testing.F) {
 	f.Add("/a/7", "id=1")
 	f.Add("//", "")
@@ -185,8 +185,8 @@
 	})
 }
 
-// BenchmarkDecideSameFirst measures a decision among 4,200 rules whose prefixes begin with the same
-// part. Trying them one after the other took 22 us, looking the prefixes of the path up 0.15 us.
+// BenchmarkDecideSameFirst measures a decision among 4,200 rules whose prefixes have the same first
+// segment. It guards against an index that falls back to trying such rules one by one.
 func BenchmarkDecideSameFirst(b *testing.B) {
 	var list []rules.Rule
 	for i := range 4200 {
@@ -206,7 +206,7 @@
 	}
 }
 
-// BenchmarkDecide measures rule match and key with 100 rules.
+// BenchmarkDecide measures matching and extraction of the key number with 100 rules.
 func BenchmarkDecide(b *testing.B) {
 	var text strings.Builder
 	text.WriteString("[[service]]\nname = \"s\"\nkeyed = true\n")
@@ -228,9 +228,9 @@
 }
 
 var _ = Describe("the index of a set", func() {
-	// A rule that is found by its path must not be taken before one that stands above it and
-	// is found elsewhere: whatever the index, the first rule that matches decides.
-	It("decides as trying one rule after the other", func() {
+	// Guards against an index that returns rules out of order: the lists of the index must be
+	// merged so that the first matching rule of the set wins, whichever list it is in.
+	It("gives the same decision as trying the rules one by one", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			part := rapid.SampledFrom([]string{"", "a", "b", "c", "{x}"})
 			var list []rules.Rule
--- a/protocol/rules/types.go
+++ b/protocol/rules/types.go
@@ -7,10 +7,10 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// Duration is a time written as text, such as "250ms" or "2s".
+// Duration is a time.Duration that is written as text, such as "250ms" or "2s".
 type Duration = clock.Duration
 
-// file is the configuration as written.
+// file is the TOML document.
 type file struct {
 	Service []Service `toml:"service"`
 	Rule    []Rule    `toml:"rule"`
@@ -20,96 +20,96 @@
 type Service struct {
 	// Name is unique in the file.
 	Name string `toml:"name"`
-	// Keyed says that each target owns ranges of key numbers, 0 to 65535, under grants.
+	// Keyed says that the key numbers, 0 to 65535, are divided among the targets: each owns ranges
+	// of them under grants.
 	Keyed bool `toml:"keyed"`
-	// TargetConnections is how many connections one target takes from all instances.
-	// 0 sets no bound.
+	// TargetConnections is the largest number of connections to one target from all instances
+	// together. 0: no limit.
 	TargetConnections int `toml:"target_connections"`
-	// Imbalance is the ratio of the fullest target to the mean from which on keys move for
-	// balance. Default 1.2.
+	// Imbalance is the ratio of the highest load of a target to the mean load from which keys are
+	// moved to balance the targets. Default 1.2.
 	Imbalance float64 `toml:"imbalance"`
-	// ColdStart is how long a target is cold after it starts. 0: it is not.
+	// ColdStart is how long a target counts as cold after it starts. 0: not at all.
 	ColdStart Duration `toml:"cold_start"`
-	// ColdRate is how many requests a second a cold target bears, from all instances. 0 sets no
-	// bound.
+	// ColdRate is the largest number of requests a second that a cold target takes from all
+	// instances together. 0: no limit.
 	ColdRate float64 `toml:"cold_rate"`
 }
 
-// Rule is one "when … then …".
+// Rule is a condition and what is done with the requests that fulfil it.
 type Rule struct {
-	// Name is unique in the file and appears in logs, metrics and answers.
+	// Name is unique in the file. It appears in logs, metrics and responses.
 	Name string `toml:"name"`
 	When When   `toml:"when"`
 	Then Then   `toml:"then"`
 }
 
-// When is a condition. All fields that are set must hold; an empty condition always
-// holds.
+// When is a condition. A request must match all fields that are set; an empty condition matches every
+// request.
 type When struct {
-	// Method lists HTTP methods, one of which must match.
+	// Method lists the accepted HTTP methods.
 	Method []string `toml:"method"`
-	// Service lists services, one of which the caller must address: the first label of the
+	// Service lists the accepted services. A caller addresses a service by the first label of the
 	// host name, such as bookings in bookings.example.
 	Service []string `toml:"service"`
-	// Host lists host names, one of which must match; the port is ignored.
+	// Host lists the accepted host names; the port is ignored.
 	Host []string `toml:"host"`
-	// Path is a pattern such as /jobs/{job}/status; {rest...} matches the remainder.
+	// Path is a pattern such as /jobs/{job}/status; {rest...} matches the rest of the path.
 	Path string `toml:"path"`
-	// Prefix is a text that the path must begin with.
+	// Prefix is the required beginning of the path.
 	Prefix string `toml:"prefix"`
-	// Header maps header names to values; the value "*" asks for presence only.
+	// Header maps header names to required values; "*" matches any value.
 	Header map[string]string `toml:"header"`
-	// Caller lists callers, one of which must match.
+	// Caller lists the accepted callers.
 	Caller []string `toml:"caller"`
-	// DataCentre lists data centres, one of which must be the instance's own.
+	// DataCentre lists the accepted data centres of the instance that has received the request.
 	DataCentre []string `toml:"data_centre"`
-	// All, Any and Not combine further conditions.
+	// All, Any and Not combine nested conditions.
 	All []When `toml:"all"`
 	Any []When `toml:"any"`
 	Not *When  `toml:"not"`
 }
 
-// Then is what happens to a request. Either Route or Refuse is set.
+// Then is what is done with a request. Exactly one of Route, Backends and Refuse is set.
 type Then struct {
 	// Route names the service that runs the request.
 	Route string `toml:"route"`
 	// Key says where the key is: "path:NAME", "header:NAME" or "query:NAME" for a text that
-	// is hashed, "number:HEADER" for a header with the key's number. A keyed service needs
-	// it.
+	// is hashed, "number:HEADER" for a header with the key number. A keyed service requires it.
 	Key string `toml:"key"`
-	// Idempotent says that running the request twice does the same as running it once.
+	// Idempotent says that running the request twice has the same effect as running it once.
 	Idempotent bool `toml:"idempotent"`
-	// Deadline is the time for the whole request. Default 3s, at most 60s.
+	// Deadline is the time limit for the whole request. Default 3s, at most 60s.
 	Deadline Duration `toml:"deadline"`
-	// Limit bounds the requests that the rule lets through on each instance.
+	// Limit limits the requests of the rule on each instance.
 	Limit *Limit `toml:"limit"`
-	// Refuse answers the request without running it.
+	// Refuse is the answer to a request that is not to be run.
 	Refuse *Refuse `toml:"refuse"`
-	// Backends share the requests of the rule among services by weight, in place of Route.
+	// Backends divides the rule's requests among services by weight.
 	Backends []Backend `toml:"backends"`
-	// MaxAttempts bounds the targets that one request may be sent to. Default 2.
+	// MaxAttempts is the largest number of targets that one request is sent to. Default 2.
 	MaxAttempts int `toml:"max_attempts"`
-	// Aim is the time within which an answer is of full use to the caller. Default: half
-	// of the deadline.
+	// Aim is the response time up to which an answer has its full value for the caller. Default:
+	// half of the deadline.
 	Aim Duration `toml:"aim"`
-	// Priority is the rank of the requests where targets are short of room; 0 goes first.
+	// Priority ranks requests when targets lack free slots; 0 is served first.
 	Priority int `toml:"priority"`
 }
 
 // Backend is a service with its share of a rule's requests.
 type Backend struct {
 	Service string `toml:"service"`
-	// Weight is the share, relative to the sum of the rule's weights.
+	// Weight is the service's share, relative to the sum of the weights of the rule.
 	Weight int `toml:"weight"`
 }
 
-// Limit bounds requests on each instance. Requests above it are refused at once.
+// Limit limits the requests on each instance. Requests above it are refused immediately.
 type Limit struct {
-	// PerSecond is the rate, with bursts of up to Burst. 0 sets no bound.
+	// PerSecond is the rate in requests a second, with bursts of up to Burst. 0: no limit.
 	PerSecond float64 `toml:"per_second"`
-	// Burst defaults to PerSecond, at least 1.
+	// Burst defaults to PerSecond, but at least 1.
 	Burst int `toml:"burst"`
-	// Concurrent is the number of requests under way at a time. 0 sets no bound.
+	// Concurrent is the largest number of requests in flight. 0: no limit.
 	Concurrent int `toml:"concurrent"`
 }
 
@@ -117,16 +117,16 @@
 type Refuse struct {
 	// Status is the HTTP status, 400 to 599.
 	Status int `toml:"status"`
-	// Message is the text of the answer.
+	// Message is the body of the answer.
 	Message string `toml:"message"`
-	// RetryAfter tells the caller when to come back; rounded up to whole seconds.
+	// RetryAfter is the Retry-After of the answer, rounded up to whole seconds.
 	RetryAfter Duration `toml:"retry_after"`
 }
 
-// Mistake is one thing wrong with a configuration.
+// Mistake is a mistake in a configuration.
 type Mistake struct {
 	File string
-	// Line is 0 when the mistake has no single place.
+	// Line is 0 if the mistake is not at a particular line.
 	Line int
 	// Where names the service or rule, such as: rule 3 "status check".
 	Where   string
@@ -134,6 +134,7 @@
 	Message string
 }
 
+// String returns "FILE:LINE: WHERE: FIELD: MESSAGE" without the parts that are empty.
 func (m Mistake) String() string {
 	var b strings.Builder
 	b.WriteString(m.File)
@@ -148,9 +149,10 @@
 	return b.String()
 }
 
-// Mistakes are all that is wrong with a configuration. It is an error.
+// Mistakes is the list of all mistakes in a configuration. It is an error.
 type Mistakes []Mistake
 
+// Error returns the mistakes, one on each line.
 func (m Mistakes) Error() string {
 	lines := make([]string, len(m))
 	for i, x := range m {
