--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -1,4 +1,7 @@
-// Package peerapi holds the messages between instances.
+// Package peerapi defines the messages that instances exchange.
+//
+// Messages are encoded with gob, which matches exported fields by name: renaming a field breaks
+// compatibility with instances of other versions.
 package peerapi
 
 import (
@@ -12,192 +15,205 @@
 	"lycheehall.example/lycheehall/timeline"
 )
 
-// KeyLoad is what arrived for one key since the last report.
+// KeyLoad is the load on one key since the previous report.
 type KeyLoad struct {
 	Service string
 	Key     uint16
-	// Seconds is the time that the requests should take at a target of average speed.
+	// Seconds is the time, in seconds, that the requests for the key are expected to take at a target
+	// of average speed.
 	Seconds float32
 }
 
-// TargetStats is how fast one target answered since the last report.
+// TargetStats summarises the answers of one target since the previous report.
 type TargetStats struct {
 	Target string
 	// Count is the number of answers.
 	Count int
-	// Slowness is the sum over them of the time taken, relative to the rule's mean.
+	// Slowness is the sum, over these answers, of the time taken relative to the mean of the rule.
 	Slowness float64
-	// Limit is how many requests a second the target takes from all instances together, by its last
-	// answer; 0: it names no limit.
+	// Limit is the number of requests a second that the target takes from all instances together,
+	// according to its last answer. 0: the target states no limit.
 	Limit float64
 }
 
-// RelayedInstance is an instance that has reported through another one.
+// RelayedInstance is an instance whose reports reach the leader through a relay.
 type RelayedInstance struct {
 	view.Instance
-	// Age is how long ago it reported.
+	// Age is the time since its last report.
 	Age time.Duration
-	// Leaving says that it shuts down and takes no duties.
+	// Leaving says that the instance is shutting down and takes no duties.
 	Leaving bool
 }
 
-// SyncArgs is a report to the leading instance, and asks for what is newer than what the
-// sender knows.
+// SyncArgs is a report to the leader. It also requests updates: everything that is newer than what
+// the sender knows.
 type SyncArgs struct {
-	Self             view.Instance
-	RulesVersion     uint64
-	TargetsDigest    uint64
-	MapVersions      map[string]uint64
-	InstancesVersion view.InstancesVersion
-	// EvacuationsVersion is that of the evacuations that the sender knows.
+	Self view.Instance
+	// RulesVersion, TargetsDigest, MapVersions (by service), InstancesVersion and EvacuationsVersion
+	// identify what the sender knows.
+	RulesVersion       uint64
+	TargetsDigest      uint64
+	MapVersions        map[string]uint64
+	InstancesVersion   view.InstancesVersion
 	EvacuationsVersion uint64
-	// Wait is how long the answer may be held until there is something newer.
+	// Wait is how long the receiver may delay the reply while it has no update.
 	Wait time.Duration
+	// Work and Pace hold the load and the target statistics since the previous report, as observed by
+	// the sender and by the instances that report through it.
 	Work []KeyLoad
 	Pace []TargetStats
-	// Relayed asks the receiver to pass the report on to the leading instance, and to answer for it.
+	// Relayed asks the receiver to act as a relay: to forward the report to the leader, and to reply
+	// in the leader's place.
 	Relayed bool
-	// Members are instances that have reported through the sender.
+	// Members are the instances that have reported through the sender.
 	Members []RelayedInstance
-	// Lost is the holder of the lease that the sender found not to lead any more.
+	// Lost is the lease holder that, as the sender has found, no longer leads.
 	Lost string
-	// Starting says that the sender knows nothing: whatever is known is of use to it, however old.
-	// It is told targets, maps and instances as a whole.
+	// Starting says that the sender has no data yet, so that even stale data is useful to it. The
+	// reply contains all targets, maps and instances.
 	Starting bool
-	// AwaitCurrent says that the store does not answer the sender, who can do nothing but wait: the
-	// answer may be held also until there is something current to be said.
+	// AwaitCurrent says that the store does not answer the sender, which therefore has no other
+	// source. The reply may then also be delayed until the receiver has current data.
 	AwaitCurrent bool
-	// StoreAnswers says that the store has just answered the sender, who was told that it does
-	// not answer the leading instance.
+	// StoreAnswers says that the store has just answered the sender, after the sender was informed
+	// that the store does not answer the leader.
 	StoreAnswers bool
-	// Leaving says that the sender shuts down and takes no duties.
+	// Leaving says that the sender is shutting down and takes no duties.
 	Leaving bool
-	// LeavingTargets are targets that have said in answers that they leave, to the sender or to others
-	// that report through it.
+	// LeavingTargets are the targets that have announced in an answer that they are leaving, to the
+	// sender or to an instance that reports through it.
 	LeavingTargets []string
-	// Quarantine is what the receiver may not know of requests under which targets have ended.
-	// QuarantineVersion is the version of the leading instance's table that the sender knows.
+	// Quarantine holds the observations, unknown to the receiver as far as the sender can tell, of
+	// requests during which targets ended. QuarantineVersion is the version of the leader's table
+	// that the sender has.
 	Quarantine        quarantine.Table
 	QuarantineVersion quarantine.Version
-	// Lamport is the sender's time of the time line.
+	// Lamport is the sender's Lamport time.
 	Lamport uint64
 }
 
-// SyncReply answers a SyncArgs. What is not newer is left out.
+// SyncReply is the reply to a report. Fields for data that is not newer than the sender's are empty.
 type SyncReply struct {
-	// Leading is false when the answering instance does not lead.
+	// Leading reports whether the replying instance is the leader.
 	Leading bool
-	// Current says that one that does not lead has read the lease's row lately, and that the
-	// rest of the answer holds; Leader is then the holder that it follows, if any.
+	// Current says that a replying follower has read the lease row recently, so that the rest of the
+	// reply is valid. Leader is then the leader that it follows, if any.
 	Current bool
 	Leader  lease.Row
-	// Lease is the version of the lease's row.
+	// Lease is the version of the lease row.
 	Lease uint64
-	// StoreSilent says that the store does not answer the leading instance.
+	// StoreSilent says that the store does not answer the leader.
 	StoreSilent bool
-	// Vacated is the newest term of which the sender knows that its holder has given it up: it
-	// does nothing in it any more, and everything that was granted has run out after Held.
+	// Vacated is the latest term that its holder, as far as the replying instance knows, has announced
+	// to have given up: the holder takes no further action in that term, and everything granted until
+	// then expires within VacatedHeld.
 	Vacated     uint64
 	VacatedHeld time.Duration
-	// Held is how long the answer was held back.
+	// Held is how long the reply was delayed.
 	Held time.Duration
-	// Age is how long ago what the answer confirms was read from the store.
+	// Age is the time since the data that the reply confirms was read from the store.
 	Age time.Duration
 
-	// RulesVersion is the version in force; RulesRead is the version of the store as of which
-	// that was read.
+	// RulesVersion is the version of the rules in force. RulesRead is the store version at which it
+	// was read.
 	RulesVersion uint64
 	RulesRead    uint64
-	// RulesChanges turn the rules of version RulesFrom into those of RulesVersion, encoded as
-	// rules.Changes; nil: the report had that version. RulesFrom is 0 for changes from nothing.
+	// RulesChanges are the changes from the rules of version RulesFrom to those of RulesVersion, an
+	// encoded rules.Changes; nil if the sender has that version. RulesFrom is 0 for changes from the
+	// empty set.
 	RulesFrom    uint64
 	RulesChanges []byte
-	// EvacuationsVersion is given when it is newer than the one in the report, with all data centres
-	// that are evacuated.
+	// EvacuationsVersion is set if it is newer than the one in the report. Evacuated then lists all
+	// evacuated data centres.
 	EvacuationsVersion uint64
 	Evacuated          []string
-	// TargetsDigest identifies the targets, TargetsRead is the version of the store as of
-	// which they were read.
+	// TargetsDigest identifies the state of the targets. TargetsRead is the store version at which
+	// they were read.
 	TargetsDigest uint64
 	TargetsRead   uint64
-	// Targets are given when TargetsDigest is not the one in the report: those that are new
-	// or changed since TargetsFrom, and the ids of those that are gone. TargetsWhole says that
-	// they are all.
+	// Targets and TargetsGone are set if TargetsDigest differs from the one in the report: the
+	// targets that are new or changed since the digest TargetsFrom, and the IDs of those removed. If
+	// TargetsWhole is set, Targets lists all targets.
 	TargetsFrom  uint64
 	Targets      []view.Target
 	TargetsGone  []string
 	TargetsWhole bool
-	// TargetsKept are those that the sender believes though the registry does not list them.
+	// TargetsKept are the targets that the replying instance still uses although the registry no
+	// longer lists them.
 	TargetsKept view.Retained
-	// Whole tells a sender that knows nothing all targets, maps and instances, compressed, in place of
-	// the fields for them.
+	// Whole holds all targets, maps and instances, compressed, for a sender that is starting. It
+	// replaces the separate fields for them.
 	Whole []byte
-	// Maps are the maps that are newer than those in the report.
+	// Maps holds the maps, by service, that are newer than those in the report.
 	Maps map[string]MapUpdate
 
-	// InstancesVersion is given when it is newer than the one in the report, with the instances
-	// that are new or changed since then and the ids of those that are gone. InstancesWhole
-	// says that they are all.
+	// InstancesVersion is set if it is newer than the one in the report. Instances then lists the
+	// instances that are new or changed since, and InstancesGone the IDs of those removed. If
+	// InstancesWhole is set, Instances lists all instances.
 	InstancesVersion view.InstancesVersion
 	Instances        []view.Instance
 	InstancesGone    []string
 	InstancesWhole   bool
-	// QuarantineVersion is given when it is newer than the one in the report, with all that is known
-	// of requests under which targets have ended.
+	// QuarantineVersion is set if it is newer than the one in the report. Quarantine then holds all
+	// known observations of requests during which targets ended.
 	Quarantine        quarantine.Table
 	QuarantineVersion quarantine.Version
-	// Lamport is the sender's time of the time line.
+	// Lamport is the replying instance's Lamport time.
 	Lamport uint64
 }
 
-// MapUpdate is a map, as a whole or as what has changed since the version in the report.
+// MapUpdate is a map of key ranges: either the whole map, or the ranges that have changed since the
+// version in the report.
 type MapUpdate struct {
 	Version uint64
-	// From is the version that Changed is to be applied to; 0: Changed is the whole map.
+	// From is the version that Changed applies to. 0: Changed is the whole map.
 	From    uint64
 	Changed []keyrange.Range
 }
 
-// AcquireArgs asks a keeper for a permit.
+// AcquireArgs is a request to a keeper for a permit.
 type AcquireArgs struct {
 	Ask permit.Ask
 }
 
-// AcquireReply is a permit, or the reason why there is none.
+// AcquireReply is a permit, or a refusal with its reason.
 type AcquireReply struct {
 	Granted    bool
 	Permit     permit.Permit
 	Reason     string
 	RetryAfter time.Duration
-	// TargetsRead is the version of the store as of which the keeper knows the targets. A
-	// keeper that knows less than who asks is no authority on there being none.
+	// TargetsRead is the store version at which the keeper's list of targets was read. If it is older
+	// than the requesting instance's, a refusal because there is no target is not conclusive.
 	TargetsRead uint64
 }
 
-// ReleaseArgs gives a permit back, or withdraws an ask that is still waiting.
+// ReleaseArgs returns a permit, or withdraws a request for one that is still queued.
 type ReleaseArgs struct {
-	Pool    permit.PoolID
+	Pool permit.PoolID
+	// Abandon says that the request is withdrawn.
 	Abandon bool
 	Report  permit.Report
 }
 
-// Empty is a reply without content.
+// Empty is a message without content.
 type Empty struct{}
 
-// DescribeArgs asks an instance what it believes.
+// DescribeArgs is a request to an instance to describe its state.
 type DescribeArgs struct {
-	// Events asks for the events that it keeps; Request, if given, for those that name the
-	// request and the changes of belief beside them.
-	Events  bool
+	// Events asks for the recorded state changes.
+	Events bool
+	// Request, if set, is a request ID: the reply then holds the events that name this request, and
+	// the state changes shortly before each of them.
 	Request string
 }
 
-// Description is what an instance says of itself.
+// Description is the state of an instance.
 type Description struct {
 	Instance     view.Instance
 	RulesVersion uint64
-	Maps         map[string]uint64
-	// Known is the age of what it believes of configuration and registry.
+	// Maps holds the version of the map of each service.
+	Maps map[string]uint64
+	// Known is the age of the configuration and registry data that the instance uses.
 	Known  time.Duration
 	Events []timeline.Event
 }
