--- a/protocol/wire/connection.go
+++ b/protocol/wire/connection.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// hopByHop headers concern one connection only and are never passed on.
+// hopByHop lists the headers that apply to a single connection and are never forwarded.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// DropConnectionHeaders removes the headers of one connection, those it names included.
+// DropConnectionHeaders removes hop-by-hop headers, including those that the Connection header names.
 func DropConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/protocol/wire/doc.go
+++ b/protocol/wire/doc.go
@@ -1,3 +1,4 @@
-// Package wire holds what the request path and orders share of HTTP: the names of headers
-// and paths of a deployment, the headers of one connection, and the state of an idle one.
+// Package wire holds the HTTP code shared by the request path and the orders to targets: the header
+// names and paths of a deployment, the removal of hop-by-hop headers, and the check whether an idle
+// connection can be reused.
 package wire
--- a/protocol/wire/names.go
+++ b/protocol/wire/names.go
@@ -1,31 +1,32 @@
 package wire
 
-// Names are the headers and paths that callers and targets of a deployment use. A platform
-// has names of its own; its adapter gives them.
+// Names holds the header names and paths that the callers and targets of a deployment use. They
+// differ between platforms and are provided by the platform's adapter.
 type Names struct {
-	// RequestID identifies one request of a caller; targets send it back.
+	// RequestID identifies a caller's request. Targets return it in the answer.
 	RequestID string
-	// Timeout holds the milliseconds that the sender waits for the answer.
+	// Timeout is how long the sender waits for the answer, in milliseconds.
 	Timeout string
-	// Signature marks an answer as a target's own.
+	// Signature marks an answer as produced by the target itself.
 	Signature string
-	// Target names the target that a request is meant for; any other refuses it.
+	// Target names the target that a request is meant for. Any other target refuses the request.
 	Target string
-	// NotExecuted in a target's answer says that the request did not run.
+	// NotExecuted in a target's answer says that the request was not executed.
 	NotExecuted string
 	// Leaving in a target's answer says that the target is about to leave.
 	Leaving string
-	// Limit in a target's answer is how many requests a second it takes from all instances together.
+	// Limit in a target's answer is the number of requests a second that it takes from all instances
+	// together.
 	Limit string
-	// Load in a target's answer tells how busy the target is, and how slow now.
+	// Load in a target's answer describes its current load and slowness.
 	Load string
-	// Key holds the number of the key, 0 to 65535.
+	// Key holds the key number, 0 to 65535.
 	Key string
-	// ReadyPath is the path of the balancer's health check.
+	// ReadyPath is the path of the load balancer's health check.
 	ReadyPath string
-	// AnsweredBy names the target that answers.
+	// AnsweredBy names the target that has produced the answer.
 	AnsweredBy string
-	// HandoverRef in the answer to a release refers to what the former owner prepared for
-	// the next one.
+	// HandoverRef in the answer to a release order refers to the state that the previous owner of the
+	// keys has prepared for the next one.
 	HandoverRef string
 }
--- a/protocol/wire/quiet.go
+++ b/protocol/wire/reusable.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reusable reports whether an idle connection is still open and has nothing to be read. One
-// that its peer has closed looks usable until something is sent on it, and what is sent is
-// then lost with an unknown outcome; bytes that nobody asked for belong to no request.
+// Reusable reports whether an idle connection is still open and has no unread data. A connection that
+// the peer has closed appears usable until something is sent on it, and the outcome of a request sent
+// then is unknown. Unread data on an idle connection does not belong to any request.
 func Reusable(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -18,11 +18,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN || err == unix.EWOULDBLOCK
+		reusable = err == unix.EAGAIN || err == unix.EWOULDBLOCK
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
