--- a/transport/peers/auth.go
+++ b/transport/peers/auth.go
@@ -12,20 +12,21 @@
 	"time"
 )
 
-// Security is how instances know one another.
+// Security configures how instances authenticate one another.
 type Security struct {
-	// Secret is shared by all instances. Without it whoever reaches the port is obeyed.
+	// Secret is shared by all instances. If it is empty, calls from any process that can reach the
+	// port are accepted.
 	Secret string
-	// TLS encrypts connections; nil: they are not encrypted.
+	// TLS encrypts connections. If it is nil, they are not encrypted.
 	TLS *tls.Config
 }
 
-// client makes a connection that was dialled fit for calls.
-func (s Security) client(conn net.Conn) (net.Conn, error) {
+// secureClient encrypts and authenticates an outgoing connection.
+func (s Security) secureClient(conn net.Conn) (net.Conn, error) {
 	if s.TLS != nil {
 		host, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 		if err != nil {
-			return nil, fmt.Errorf("peers: %w", err)
+			return nil, fmt.Errorf("peers: remote address: %w", err)
 		}
 		cfg := s.TLS.Clone()
 		cfg.ServerName = host
@@ -37,8 +38,8 @@
 	return conn, handshake(conn, s.Secret, clientRole, serverRole)
 }
 
-// server makes a connection that was accepted fit for calls.
-func (s Security) server(conn net.Conn) (net.Conn, error) {
+// secureServer encrypts and authenticates an accepted connection.
+func (s Security) secureServer(conn net.Conn) (net.Conn, error) {
 	if s.TLS != nil {
 		conn = tls.Server(conn, s.TLS)
 	}
@@ -48,20 +49,21 @@
 	return conn, handshake(conn, s.Secret, serverRole, clientRole)
 }
 
-// ErrAuth says that the other end does not know the shared secret.
-var ErrAuth = errors.New("peers: the other end does not know the shared secret")
+// ErrAuth reports that the remote end does not know the shared secret.
+var ErrAuth = errors.New("peers: the remote end does not know the shared secret")
 
 const (
+	// challengeLen is the length of a challenge in bytes.
 	challengeLen = 32
-	// handshakeTimeout bounds the time an unknown process can hold a connection.
+	// handshakeTimeout limits how long a process that is not authenticated can keep a connection open.
 	handshakeTimeout = 2 * time.Second
 
 	serverRole = "lycheehall server"
 	clientRole = "lycheehall client"
 )
 
-// proof answers a challenge. The role keeps an answer from being played back to its
-// own sender; both challenges keep it from being used on another connection.
+// proof returns one end's proof that it knows the secret. It covers the role, so that it cannot be
+// reflected to its sender, and both challenges, so that it cannot be replayed on another connection.
 func proof(secret, role string, server, client []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte(role))
@@ -70,32 +72,33 @@
 	return mac.Sum(nil)
 }
 
-// handshake is one side's part: mine and theirs are the roles of the two ends.
-func handshake(conn net.Conn, secret, mine, theirs string) error {
+// handshake authenticates both ends of a connection by challenge and response. It must be called at
+// both ends, with their roles exchanged.
+func handshake(conn net.Conn, secret, localRole, remoteRole string) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return fmt.Errorf("peers: handshake: %w", err)
 	}
-	own := make([]byte, challengeLen)
-	rand.Read(own)
-	if _, err := conn.Write(own); err != nil {
-		return fmt.Errorf("peers: handshake: %w", err)
+	localChallenge := make([]byte, challengeLen)
+	rand.Read(localChallenge)
+	if _, err := conn.Write(localChallenge); err != nil {
+		return fmt.Errorf("peers: handshake: send challenge: %w", err)
 	}
-	other := make([]byte, challengeLen)
-	if _, err := io.ReadFull(conn, other); err != nil {
-		return fmt.Errorf("peers: handshake: %w", err)
+	remoteChallenge := make([]byte, challengeLen)
+	if _, err := io.ReadFull(conn, remoteChallenge); err != nil {
+		return fmt.Errorf("peers: handshake: receive challenge: %w", err)
 	}
-	server, client := own, other
-	if mine == clientRole {
-		server, client = other, own
+	server, client := localChallenge, remoteChallenge
+	if localRole == clientRole {
+		server, client = remoteChallenge, localChallenge
 	}
-	if _, err := conn.Write(proof(secret, mine, server, client)); err != nil {
-		return fmt.Errorf("peers: handshake: %w", err)
+	if _, err := conn.Write(proof(secret, localRole, server, client)); err != nil {
+		return fmt.Errorf("peers: handshake: send proof: %w", err)
 	}
-	answer := make([]byte, sha256.Size)
-	if _, err := io.ReadFull(conn, answer); err != nil {
-		return fmt.Errorf("peers: handshake: %w", err)
+	remoteProof := make([]byte, sha256.Size)
+	if _, err := io.ReadFull(conn, remoteProof); err != nil {
+		return fmt.Errorf("peers: handshake: receive proof: %w", err)
 	}
-	if !hmac.Equal(answer, proof(secret, theirs, server, client)) {
+	if !hmac.Equal(remoteProof, proof(secret, remoteRole, server, client)) {
 		return ErrAuth
 	}
 	return conn.SetDeadline(time.Time{})
--- a/transport/peers/client.go
+++ b/transport/peers/client.go
@@ -14,45 +14,46 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// ServiceName is the name under which an instance serves its peers.
+// ServiceName is the net/rpc service name that instances register.
 const ServiceName = "Peer"
 
-// ErrNoAnswer says that the peer did not answer; whether it got the call is not known.
+// ErrNoAnswer reports that the peer did not answer. It may or may not have received the call.
 var ErrNoAnswer = errors.New("peers: no answer")
 
 const (
-	// dialTimeout bounds the making of a connection; data centres of a region are a few
+	// dialTimeout limits how long connecting may take. The data centres of a region are only a few
 	// milliseconds apart.
 	dialTimeout = 300 * time.Millisecond
-	// keepAliveEvery and keepAliveCount end a connection that has gone silent.
-	keepAliveEvery = 300 * time.Millisecond
-	keepAliveCount = 3
-	// unackedFor ends a connection whose peer does not acknowledge what was sent.
-	unackedFor = 900 * time.Millisecond
-	// redialAfter is the pause after a connection could not be made, so that a peer that is
-	// gone does not hold up one call after the other.
-	redialAfter = 200 * time.Millisecond
+	// keepAliveInterval and keepAliveCount make an idle connection fail when its peer has become
+	// unreachable.
+	keepAliveInterval = 300 * time.Millisecond
+	keepAliveCount    = 3
+	// unackedTimeout is the time after which a connection fails if the peer does not acknowledge sent
+	// data.
+	unackedTimeout = 900 * time.Millisecond
+	// redialDelay is the pause after a failed connection attempt, during which calls fail immediately.
+	// Otherwise every call to an unreachable peer waits for another connection attempt.
+	redialDelay = 200 * time.Millisecond
 )
 
 // Client calls other instances. It is safe for concurrent use.
 type Client struct {
 	security Security
-	// dial makes a connection.
-	dial func(address string) (net.Conn, error)
+	dial     func(address string) (net.Conn, error)
 
 	mu    sync.Mutex
 	peers map[string]*peer
 }
 
-// peer is the connection to one instance. Lock order: making, then mu.
+// peer is the connection to one instance. Lock order: connecting, then mu.
 type peer struct {
-	// making is held while a connection is made, which takes up to dialTimeout. It guards failedAt
-	// and lastErr.
-	making   sync.Mutex
-	failedAt time.Time
-	lastErr  error
+	// connecting is held while a connection is established, which includes waiting for the network. It
+	// guards failedAt and lastErr.
+	connecting sync.Mutex
+	failedAt   time.Time
+	lastErr    error
 
-	// mu guards client, and is held for moments only.
+	// mu guards client. It is held only briefly.
 	mu     sync.Mutex
 	client *rpc.Client
 }
@@ -65,11 +66,12 @@
 func dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return dialer.Dial("tcp", address)
 }
 
+// peer returns the peer at an address, and adds it if necessary.
 func (c *Client) peer(address string) *peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,27 +83,27 @@
 	return p
 }
 
-// open returns the connection to a peer, or nil.
-func (p *peer) open() *rpc.Client {
+// current returns the established connection to the peer, or nil.
+func (p *peer) current() *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.client
 }
 
-// connect returns the connection to a peer, and makes it if need be.
+// connect returns the connection to a peer, and establishes it if necessary.
 func (c *Client) connect(p *peer, address string) (*rpc.Client, error) {
-	p.making.Lock()
-	defer p.making.Unlock()
-	if client := p.open(); client != nil {
+	p.connecting.Lock()
+	defer p.connecting.Unlock()
+	if client := p.current(); client != nil {
 		return client, nil
 	}
-	if time.Since(p.failedAt) < redialAfter {
+	if time.Since(p.failedAt) < redialDelay {
 		return nil, p.lastErr
 	}
 	conn, err := c.dial(address)
 	if err == nil {
-		boundUnacked(conn)
-		conn, err = secure(conn, c.security.client)
+		limitUnacked(conn)
+		conn, err = secure(conn, c.security.secureClient)
 	}
 	if err != nil {
 		p.failedAt = time.Now()
@@ -114,7 +116,7 @@
 	return p.client, nil
 }
 
-// secure applies one side of a Security, and closes the connection if that fails.
+// secure calls one of Security's methods, and closes the connection if that fails.
 func secure(conn net.Conn, side func(net.Conn) (net.Conn, error)) (net.Conn, error) {
 	secured, err := side(conn)
 	if err != nil {
@@ -124,10 +126,10 @@
 	return secured, nil
 }
 
-// boundUnacked makes a connection fail when its peer does not acknowledge what was sent.
-// Without it a write to a machine that has lost power hangs for minutes. Where the option
-// cannot be set the time limit of each call still holds.
-func boundUnacked(conn net.Conn) {
+// limitUnacked makes a connection fail when its peer does not acknowledge sent data for
+// unackedTimeout. Without it a write to a machine that has lost power hangs for minutes. If the
+// option cannot be set, the time limit of each call still applies.
+func limitUnacked(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -137,11 +139,11 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// drop closes a connection that has failed.
+// drop closes a failed connection, so that the next call establishes a new one.
 func (p *peer) drop(client *rpc.Client) {
 	if client == nil {
 		return
@@ -151,41 +153,41 @@
 	if p.client == client {
 		p.client = nil
 	}
-	// The error says only that it was closed already.
+	// Close only fails if the connection is closed already.
 	_ = client.Close()
 }
 
-// sent is a call on its way, and the connection that carries it.
-type sent struct {
+// startedCall is a call in progress with its connection, or the error that prevented it.
+type startedCall struct {
 	client *rpc.Client
 	call   *rpc.Call
 	err    error
 }
 
-// send begins a call beside the caller: making a connection takes a while, and a peer that reads
-// nothing lets the sending wait until its connection is dropped.
-func (c *Client) send(p *peer, address, method string, args, reply any) <-chan sent {
-	begun := make(chan sent, 1)
+// start starts a call in another goroutine, because it may block: establishing a connection takes
+// time, and sending to a peer that does not read blocks until its connection is dropped.
+func (c *Client) start(p *peer, address, method string, args, reply any) <-chan startedCall {
+	started := make(chan startedCall, 1)
 	go func() {
 		client, err := c.connect(p, address)
 		if err != nil {
-			begun <- sent{err: err}
+			started <- startedCall{err: err}
 			return
 		}
-		begun <- sent{client: client, call: client.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))}
+		started <- startedCall{client: client, call: client.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))}
 	}()
-	return begun
+	return started
 }
 
-// call makes one call and waits until ctx ends. A call that ends with its time limit drops
-// the connection.
+// call makes a call and waits for its result until ctx ends. If the call exceeds the deadline of ctx,
+// the connection is dropped.
 func (c *Client) call(ctx context.Context, address, method string, args, reply any) error {
 	p := c.peer(address)
-	var s sent
+	var s startedCall
 	select {
-	case s = <-c.send(p, address, method, args, reply):
+	case s = <-c.start(p, address, method, args, reply):
 	case <-ctx.Done():
-		return p.ended(ctx, p.open())
+		return p.contextError(ctx, p.current())
 	}
 	if s.err != nil {
 		return s.err
@@ -195,56 +197,57 @@
 		if call.Error == nil {
 			return nil
 		}
-		var refused rpc.ServerError
-		if !errors.As(call.Error, &refused) {
+		var serverErr rpc.ServerError
+		if !errors.As(call.Error, &serverErr) {
 			p.drop(s.client)
 		}
 		return fmt.Errorf("%w: %w", ErrNoAnswer, call.Error)
 	case <-ctx.Done():
-		return p.ended(ctx, s.client)
+		return p.contextError(ctx, s.client)
 	}
 }
 
-// ended returns the error of a call that ended with its context.
-func (p *peer) ended(ctx context.Context, client *rpc.Client) error {
+// contextError returns the error of a call whose context has ended, and drops the connection if the
+// deadline was exceeded.
+func (p *peer) contextError(ctx context.Context, client *rpc.Client) error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		p.drop(client)
 	}
 	return fmt.Errorf("%w: %w", ErrNoAnswer, ctx.Err())
 }
 
-// Sync reports to an instance and learns what is new there.
+// Sync sends a report to an instance and returns its reply.
 func (c *Client) Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error) {
 	var reply peerapi.SyncReply
 	err := c.call(ctx, address, "Sync", args, &reply)
 	return &reply, err
 }
 
-// Acquire asks a keeper for a permit.
+// Acquire requests a permit from its keeper.
 func (c *Client) Acquire(ctx context.Context, address string, args *peerapi.AcquireArgs) (*peerapi.AcquireReply, error) {
 	var reply peerapi.AcquireReply
 	err := c.call(ctx, address, "Acquire", args, &reply)
 	return &reply, err
 }
 
-// Release gives a permit back without waiting for the answer, or for a connection: a permit that does
-// not come back is taken back by its keeper.
+// Release returns a permit. It waits neither for an answer nor for a connection, and does nothing if
+// there is no connection: the keeper reclaims permits that are not returned.
 func (c *Client) Release(address string, args *peerapi.ReleaseArgs) {
-	client := c.peer(address).open()
+	client := c.peer(address).current()
 	if client == nil {
 		return
 	}
 	go client.Go(ServiceName+".Release", args, &peerapi.Empty{}, make(chan *rpc.Call, 1))
 }
 
-// Describe asks an instance what it believes.
+// Describe asks an instance for a description of its state.
 func (c *Client) Describe(ctx context.Context, address string, args *peerapi.DescribeArgs) (*peerapi.Description, error) {
 	var reply peerapi.Description
 	err := c.call(ctx, address, "Describe", args, &reply)
 	return &reply, err
 }
 
-// Ping asks a peer for a sign of life.
+// Ping checks that a peer answers.
 func (c *Client) Ping(ctx context.Context, address string) error {
 	return c.call(ctx, address, "Ping", &peerapi.Empty{}, &peerapi.Empty{})
 }
--- a/transport/peers/doc.go
+++ b/transport/peers/doc.go
@@ -1,5 +1,5 @@
-// Package peers carries calls between instances, with net/rpc over TCP.
+// Package peers implements calls between instances, using net/rpc over TCP.
 //
-// A connection to an instance that has gone silent is given up as a whole as soon as one
-// call on it has waited for longer than it may; the next call makes a new one.
+// All calls to an instance share one connection. When a call on it exceeds its deadline, the
+// connection is dropped as a whole, and the next call establishes a new one.
 package peers
--- a/transport/peers/peers_test.go
+++ b/transport/peers/peers_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "Peers")
 }
 
-// echo answers calls without an instance behind it.
+// echo is a backend without an instance. Acquire blocks until the server is closed.
 type echo struct{}
 
 func (echo) Sync(_ context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
@@ -58,11 +58,11 @@
 }
 
 var _ = Describe("a call", func() {
-	It("is answered between instances that share the secret", func() {
+	It("succeeds between instances that share the secret", func() {
 		Expect(ping(Security{Secret: "secret"}, startServer(Security{Secret: "secret"}))).To(Succeed())
 	})
 
-	It("carries a report and its answer", func() {
+	It("transfers a report and its reply", func() {
 		c := NewClient(Security{})
 		defer c.Close()
 		reply, err := c.Sync(context.Background(), startServer(Security{}), &peerapi.SyncArgs{RulesVersion: 7})
@@ -70,14 +70,13 @@
 		Expect(reply.RulesVersion).To(Equal(uint64(7)))
 	})
 
-	// Symptom: whoever reaches the port can hand out permits. Cause: listeners that obey
-	// everybody.
+	// Guards against a server that accepts calls from any process that can reach its port.
 	It("is refused without the secret", func() {
 		Expect(ping(Security{Secret: "wrong"}, startServer(Security{Secret: "secret"}))).To(MatchError(ErrNoAnswer))
 	})
 
-	// Symptom: an instance that is sent garbage crashes. Cause: a stray client.
-	It("is still answered after a client has sent garbage", func() {
+	// Guards against a crash when an unrelated client sends data that is not a handshake.
+	It("succeeds after a client has sent garbage", func() {
 		address := startServer(Security{Secret: "secret"})
 		conn, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
@@ -86,10 +85,9 @@
 		Expect(ping(Security{Secret: "secret"}, address)).To(Succeed())
 	})
 
-	// Symptom: calls wait for ever on a connection that was cut silently.
-	// Sequence: the other end takes the connection and never answers.
-	// Cause: TCP tells nobody about a cut.
-	It("ends with its context when the other end is silent", func() {
+	// Guards against calls that wait for ever because the peer has accepted the connection but never
+	// answers. TCP does not report that the path to an idle peer is interrupted.
+	It("ends with its context if the peer does not answer", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -100,11 +98,10 @@
 		Expect(c.Ping(ctx, l.Addr().String())).To(MatchError(ErrNoAnswer))
 	})
 
-	// Symptom: answers of targets reach their callers 0.3 s late, after their rule's time.
-	// Sequence: the keeper of a permit has lost power; a request that asks it waits for a connection;
-	// another one, which a target has answered, gives its permit back.
-	// Cause: giving it back waited for the same connection.
-	It("that gives a permit back does not wait for a connection that is being made", func() {
+	// Guards against answers that reach callers 0.3 s late, after their deadline. The keeper of a
+	// permit has lost power, and one request waits for a connection to it. Another request, which a
+	// target has answered, returns its permit and waits for the same connection.
+	It("that returns a permit does not wait for a connection that is being established", func() {
 		c := NewClient(Security{})
 		making, made := make(chan struct{}), make(chan struct{})
 		c.dial = func(string) (net.Conn, error) {
@@ -120,9 +117,9 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 50*time.Millisecond))
 	})
 
-	// Symptom: an instance follows nobody for seconds after its leading instance has lost power.
-	// Cause: a call did not end with its time limit while its connection was being made.
-	It("ends with its context while a connection is being made", func() {
+	// Guards against a follower that is without a leader for seconds after the leader has lost power,
+	// because a call did not end at its deadline while its connection was being established.
+	It("ends with its context while a connection is being established", func() {
 		c := NewClient(Security{})
 		made := make(chan struct{})
 		c.dial = func(string) (net.Conn, error) {
@@ -137,10 +134,9 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
-	// Symptom: all that an instance sends to a frozen one hangs, also what waits for no answer.
-	// Sequence: the frozen one reads nothing; the connection takes no more bytes.
-	// Cause: sending waits for the connection to take them.
-	It("that gives a permit back does not wait for a peer that reads nothing", func() {
+	// Guards against calls to a frozen instance that block even though they wait for no answer. The
+	// frozen instance does not read, the connection's buffers are full, and sending blocks.
+	It("that returns a permit does not wait for a peer that does not read", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -149,17 +145,16 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		go func() { _ = c.Ping(ctx, l.Addr().String()) }()
-		Eventually(func() bool { return c.peer(l.Addr().String()).open() != nil }, "1s", "1ms").Should(BeTrue())
+		Eventually(func() bool { return c.peer(l.Addr().String()).current() != nil }, "1s", "1ms").Should(BeTrue())
 		large := &peerapi.ReleaseArgs{Report: permit.Report{ID: strings.Repeat("x", 64<<20)}}
 		begun := time.Now()
 		c.Release(l.Addr().String(), large)
 		Expect(time.Since(begun)).To(BeNumerically("<", 50*time.Millisecond))
 	})
 
-	// Symptom: one frozen peer makes every later call to it hang as well.
-	// Sequence: a call runs into its time limit; the next one is made.
-	// Cause: calls share a connection, and nothing on it tells that the peer is frozen.
-	It("drops a connection on which a call ran into its time limit", func() {
+	// Guards against a frozen peer that makes every later call to it hang as well. Calls share a
+	// connection, and nothing on the connection shows that the peer is frozen.
+	It("that exceeds its deadline drops the connection", func() {
 		address := startServer(Security{})
 		c := NewClient(Security{})
 		defer c.Close()
@@ -167,12 +162,12 @@
 		defer cancel()
 		_, err := c.Acquire(ctx, address, &peerapi.AcquireArgs{})
 		Expect(err).To(MatchError(ErrNoAnswer))
-		Expect(c.peer(address).open()).To(BeNil())
+		Expect(c.peer(address).current()).To(BeNil())
 	})
 })
 
-// FuzzSync feeds the codec of the messages between instances whatever bytes: it returns an
-// error or a message, and does not panic.
+// FuzzSync checks that decoding any bytes as a message returns a message or an error, and does not
+// panic.
 func FuzzSync(f *testing.F) {
 	var seed bytes.Buffer
 	if err := gob.NewEncoder(&seed).Encode(peerapi.SyncArgs{RulesVersion: 3}); err != nil {
--- a/transport/peers/server.go
+++ b/transport/peers/server.go
@@ -19,40 +19,40 @@
 	Describe(args *peerapi.DescribeArgs) *peerapi.Description
 }
 
-// service is what net/rpc exports.
+// service is the receiver that is registered with net/rpc.
 type service struct {
 	ctx     context.Context
 	backend Backend
 }
 
-// Sync answers a report.
+// Sync replies to a report.
 func (s *service) Sync(args *peerapi.SyncArgs, reply *peerapi.SyncReply) error {
 	*reply = *s.backend.Sync(s.ctx, args)
 	return nil
 }
 
-// Acquire answers when there is a permit or a refusal.
+// Acquire replies once a permit has been granted or refused.
 func (s *service) Acquire(args *peerapi.AcquireArgs, reply *peerapi.AcquireReply) error {
 	*reply = *s.backend.Acquire(s.ctx, args)
 	return nil
 }
 
-// Release takes a permit back.
+// Release takes back a permit.
 func (s *service) Release(args *peerapi.ReleaseArgs, _ *peerapi.Empty) error {
 	s.backend.Release(args)
 	return nil
 }
 
-// Describe tells what the instance believes.
+// Describe returns a description of the instance's state.
 func (s *service) Describe(args *peerapi.DescribeArgs, reply *peerapi.Description) error {
 	*reply = *s.backend.Describe(args)
 	return nil
 }
 
-// Ping shows that the process runs.
+// Ping returns an empty answer, which shows that the process is running.
 func (s *service) Ping(_ *peerapi.Empty, _ *peerapi.Empty) error { return nil }
 
-// Server serves other instances on a listener.
+// Server answers the calls of other instances on a listener.
 type Server struct {
 	listener net.Listener
 	security Security
@@ -89,21 +89,22 @@
 			conn.Close()
 			return nil
 		}
-		boundUnacked(conn)
+		limitUnacked(conn)
 		go s.serve(conn)
 	}
 }
 
 func (s *Server) serve(conn net.Conn) {
 	defer s.untrack(conn)
-	secured, err := secure(conn, s.security.server)
+	secured, err := secure(conn, s.security.secureServer)
 	if err != nil {
-		// A stranger, or one that has gone: there is nobody to tell.
+		// The client failed to authenticate or has disconnected, so the error cannot be reported to it.
 		return
 	}
 	s.rpc.ServeConn(secured)
 }
 
+// track records an open connection for Close. It returns false if the server is closed.
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	delete(s.conns, conn)
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() {
 	s.cancel()
 	s.mu.Lock()
--- a/transport/peers/tls.go
+++ b/transport/peers/tls.go
@@ -8,12 +8,12 @@
 	"os"
 )
 
-// ErrCertificate says that the certificates cannot be used.
-var ErrCertificate = errors.New("peers: bad certificate settings")
+// ErrCertificate reports that the certificate settings cannot be used.
+var ErrCertificate = errors.New("peers: invalid certificate settings")
 
-// LoadTLS reads the certificates with which instances know one another: each shows its
-// own, issued for its IP number, and asks for one issued by the same authority. The files
-// are in PEM form. Without any file it returns nil, and connections are not encrypted.
+// LoadTLS reads the certificates with which instances authenticate one another. Each instance presents
+// its own certificate, issued for its IP address, and requires one issued by the same authority. The
+// files are in PEM format. If no file is given, it returns nil: connections are not encrypted.
 func LoadTLS(certFile, keyFile, caFile string) (*tls.Config, error) {
 	if certFile == "" && keyFile == "" && caFile == "" {
 		return nil, nil
@@ -28,7 +28,7 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%w: tls_ca: %s holds no certificate", ErrCertificate, caFile)
+		return nil, fmt.Errorf("%w: tls_ca: %s contains no certificate", ErrCertificate, caFile)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
--- a/transport/peers/tls_test.go
+++ b/transport/peers/tls_test.go
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// issuer makes certificates for the loopback address.
+// issuer is a certificate authority that issues certificates for the loopback address.
 type issuer struct {
 	dir  string
 	cert *x509.Certificate
@@ -51,7 +51,7 @@
 	return path
 }
 
-// config returns the settings of an instance with a certificate of this issuer.
+// config returns the TLS configuration of an instance with a new certificate of this issuer.
 func (i *issuer) config() *tls.Config {
 	GinkgoHelper()
 	key := newKey()
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("an encrypted call", func() {
-	It("is answered between certificates of one issuer and refused otherwise", func() {
+	It("succeeds if both certificates have the same issuer, and is refused otherwise", func() {
 		ours, theirs := newIssuer(), newIssuer()
 		address := startServer(Security{Secret: "secret", TLS: ours.config()})
 		Expect(ping(Security{Secret: "secret", TLS: ours.config()}, address)).To(Succeed())
@@ -75,7 +75,7 @@
 		Expect(ping(Security{Secret: "secret"}, address)).To(MatchError(ErrNoAnswer))
 	})
 
-	It("asks for all three files", func() {
+	It("requires all three files", func() {
 		_, err := LoadTLS("", "missing", "missing")
 		Expect(err).To(MatchError(ErrCertificate))
 	})
