--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP interface for operators and metrics. Its types are also what
-// the command line exchanges with it.
+// Package admin implements the HTTP interface for operators and metrics. Its request and response
+// types are also used by the command-line client.
 package admin
 
 import (
@@ -23,62 +23,69 @@
 	"lycheehall.example/lycheehall/timeline"
 )
 
-// Backend is what the interface is made of.
+// Backend provides the data and operations of the interface.
 type Backend interface {
-	// Ready reports whether the balancer may send requests here, and why not.
+	// Ready reports whether the load balancer may send requests to this instance, and if not, why.
 	Ready() (bool, string)
 	Status(ctx context.Context) Status
 	Explain(req ExplainRequest) Explanation
-	// Timeline merges the events of all instances that can be reached; missing names the
-	// others. With a request's id it has only what concerns that request, and the changes
-	// of belief at the instances that had it.
+	// Timeline merges the events of all instances that answer; missing lists the others. If request
+	// is set, it returns only the events about the request with this ID, and the state changes shortly
+	// before them at the instances that have processed it.
 	Timeline(ctx context.Context, request string) (events []timeline.Event, missing []string)
-	// Rules, History and Apply concern the rules that lycheehall itself keeps.
+	// Rules returns the rules in force, History the stored versions, newest first. Apply replaces the
+	// rules if version base is in force, and returns the new version. All three apply only to rules
+	// that lycheehall stores itself.
 	Rules(ctx context.Context) (rulestore.Record, error)
 	History(ctx context.Context) ([]rulestore.Record, error)
 	Apply(ctx context.Context, base uint64, change rulestore.Record) (uint64, error)
-	// Evacuate asks that nothing be sent to the targets of a data centre, or takes that back.
+	// Evacuate starts the evacuation of a data centre, whose targets then receive no requests, or ends
+	// it if inForce is false.
 	Evacuate(ctx context.Context, dataCentre string, inForce bool) error
-	// Quarantine lists the requests that are to reach no target; Release lets one in again, and reports
-	// whether it was there.
+	// Quarantine lists the requests that are sent to no target. Release removes a request from
+	// quarantine, and reports whether it was there.
 	Quarantine() []quarantine.QuarantinedRequest
 	Release(f quarantine.Fingerprint) bool
 }
 
-// Status is what an instance believes, and how old that is.
+// Status is the state of the deployment as one instance knows it.
 type Status struct {
 	Instance string `json:"instance"`
-	// Leader is the last known leading instance, Leading whether it is this one.
+	// Leader is the last known leader. Leading reports whether it is this instance.
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Leading bool   `json:"leading"`
-	// KnownMs is the age of what is believed of configuration and registry, in ms.
-	KnownMs int64  `json:"known_ms"`
-	Rules   uint64 `json:"rules"`
-	// Evacuated are the data centres to whose targets nothing is sent.
+	// KnownMs is the age of the configuration and registry data in use, in milliseconds.
+	KnownMs int64 `json:"known_ms"`
+	// Rules is the version of the rules in force.
+	Rules uint64 `json:"rules"`
+	// Evacuated lists the evacuated data centres, whose targets receive no requests.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// NotUnderstood lists what of the rules in force was not understood; requests concerned
-	// are refused.
+	// NotUnderstood lists the mistakes in the rules in force. Requests that match a rule with a
+	// mistake are refused.
 	NotUnderstood []string `json:"not_understood,omitempty"`
-	// Instances are all that could be asked, this one included.
+	// Instances lists all known instances, including this one.
 	Instances []InstanceStatus `json:"instances"`
 	Services  []ServiceStatus  `json:"services"`
 }
 
-// InstanceStatus is what one instance says of itself.
+// InstanceStatus is the state that one instance reports about itself.
 type InstanceStatus struct {
-	ID         string            `json:"id"`
-	DataCentre string            `json:"data_centre"`
-	Rules      uint64            `json:"rules"`
-	Maps       map[string]uint64 `json:"maps"`
-	KnownMs    int64             `json:"known_ms"`
+	ID         string `json:"id"`
+	DataCentre string `json:"data_centre"`
+	// Rules is the version of the rules, Maps the version of the map of each service.
+	Rules uint64            `json:"rules"`
+	Maps  map[string]uint64 `json:"maps"`
+	// KnownMs is the age of the configuration and registry data in use, in milliseconds.
+	KnownMs int64 `json:"known_ms"`
 	// Missing says that the instance did not answer.
 	Missing bool `json:"missing,omitempty"`
 }
 
-// ServiceStatus is a service with its targets.
+// ServiceStatus is a service with its map of key ranges and its targets.
 type ServiceStatus struct {
-	Name    string           `json:"name"`
+	Name string `json:"name"`
+	// Map is the version of the map, Ranges its content.
 	Map     uint64           `json:"map"`
 	Ranges  []keyrange.Range `json:"ranges,omitempty"`
 	Targets []TargetStatus   `json:"targets"`
@@ -91,26 +98,28 @@
 	DataCentre string `json:"data_centre"`
 	Keys       int    `json:"keys"`
 	Draining   bool   `json:"draining,omitempty"`
-	// ColdMs is how much longer the target gets no more than what a cold one bears, in ms.
+	// ColdMs is how much longer the target is limited to its service's cold rate, in milliseconds.
 	ColdMs int64 `json:"cold_ms,omitempty"`
 }
 
-// ApplyRequest asks for new rules. Base is the version it started from.
+// ApplyRequest asks to replace the rules.
 type ApplyRequest struct {
-	Base     uint64 `json:"base"`
+	// Base is the version that the change is based on. The change is refused if another is in force.
+	Base uint64 `json:"base"`
+	// ChangeID identifies the change, so that it can be repeated safely.
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
 	Text     string `json:"text"`
 }
 
-// EvacuateRequest asks that nothing be sent to the targets of a data centre, or, if it is over, takes that
-// back.
+// EvacuateRequest asks to evacuate a data centre, whose targets then receive no requests.
 type EvacuateRequest struct {
 	DataCentre string `json:"data_centre"`
-	End        bool   `json:"over,omitempty"`
+	// End asks to end the evacuation instead.
+	End bool `json:"over,omitempty"`
 }
 
-// ExplainRequest describes a request that is not made.
+// ExplainRequest describes a hypothetical request.
 type ExplainRequest struct {
 	Method string      `json:"method"`
 	Host   string      `json:"host"`
@@ -118,58 +127,61 @@
 	Header http.Header `json:"header"`
 }
 
-// Explanation tells what would happen to a request.
+// Explanation describes how a request would be handled.
 type Explanation struct {
 	Outcome string `json:"outcome"`
 	Rule    string `json:"rule,omitempty"`
 	Service string `json:"service,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Number is the number of the key, -1 without one.
+	// Number is the key number, or -1 without a key.
 	Number int    `json:"number"`
 	Fence  uint64 `json:"fence,omitempty"`
 	Target string `json:"target,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Result answers a change.
+// Result is the response to a change, and to any request that fails.
 type Result struct {
+	// Version is the version of the rules in force after a change of the rules, also if it was refused.
 	Version uint64 `json:"version"`
 	Error   string `json:"error,omitempty"`
-	// Code is one of: accepted, conflict, invalid, unavailable, uncertain.
+	// Code is one of: accepted, conflict, invalid, unauthorised, unavailable, uncertain.
 	Code string `json:"code"`
 }
 
-// QuarantinedRequest is a request that is to reach no target.
+// QuarantinedRequest is a request that is sent to no target because targets ended while they ran it.
 type QuarantinedRequest struct {
-	// Fingerprint names it in the log, too.
+	// Fingerprint identifies the request. It is the same as in the log.
 	Fingerprint string `json:"fingerprint"`
-	// Targets and Callers are how many targets ended under it, for how many callers.
+	// Targets is the number of targets that ended, Callers the number of callers whose requests they
+	// were running.
 	Targets int `json:"targets"`
 	Callers int `json:"callers"`
-	// LastCrash is when the last of them ended, Until when the request is let in again.
+	// LastCrash is when the last of these targets ended, Until when the quarantine expires.
 	LastCrash time.Time `json:"last_crash"`
 	Until     time.Time `json:"until"`
 }
 
-// ReleaseRequest asks for a request to be let in again.
+// ReleaseRequest asks to remove a request from quarantine.
 type ReleaseRequest struct {
 	Fingerprint string `json:"fingerprint"`
 }
 
-// TimelineReply answers a question for the time line.
+// TimelineReply is a merged timeline.
 type TimelineReply struct {
-	Events  []timeline.Event `json:"events"`
-	Missing []string         `json:"missing,omitempty"`
+	Events []timeline.Event `json:"events"`
+	// Missing lists the instances that did not answer.
+	Missing []string `json:"missing,omitempty"`
 }
 
-const maxRequest = 1 << 20
+const maxRequestBytes = 1 << 20
 
-// Handler returns the HTTP handler. With a token, everything but health and metrics asks for
-// it; without one, questions are answered and changes refused.
+// Handler returns the HTTP handler. If token is set, all paths except health and metrics require it.
+// If it is empty, they require none, and the paths that make changes do not exist.
 func Handler(b Backend, token string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { ready(w, b) })
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { serveReadiness(w, b) })
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	h := &handler{b}
 	operator := http.NewServeMux()
@@ -184,11 +196,12 @@
 		operator.HandleFunc("POST /v1/evacuations", h.evacuate)
 		operator.HandleFunc("POST /v1/quarantine/release", h.release)
 	}
-	mux.Handle("/v1/", authorised(operator, token))
+	mux.Handle("/v1/", requireToken(operator, token))
 	return mux
 }
 
-func authorised(next http.Handler, token string) http.Handler {
+// requireToken refuses requests without the operator token. If token is empty, it accepts all requests.
+func requireToken(next http.Handler, token string) http.Handler {
 	if token == "" {
 		return next
 	}
@@ -203,28 +216,31 @@
 	})
 }
 
-func ready(w http.ResponseWriter, b Backend) {
-	ok, why := b.Ready()
+// serveReadiness answers the load balancer's health check.
+func serveReadiness(w http.ResponseWriter, b Backend) {
+	ok, reason := b.Ready()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ok")
 }
 
-type handler struct{ b Backend }
+type handler struct{ backend Backend }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	// A failure means that the asker has gone away.
+	// Encoding only fails if the client has disconnected.
 	_ = enc.Encode(v)
 }
 
+// readJSON decodes the request body into v. If that fails it writes an error response and returns
+// false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		writeJSON(w, http.StatusBadRequest, Result{Code: "invalid", Error: "the request cannot be read: " + err.Error()})
@@ -234,7 +250,7 @@
 }
 
 func (h *handler) status(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, h.b.Status(r.Context()))
+	writeJSON(w, http.StatusOK, h.backend.Status(r.Context()))
 }
 
 func (h *handler) explain(w http.ResponseWriter, r *http.Request) {
@@ -246,16 +262,16 @@
 		writeJSON(w, http.StatusBadRequest, Result{Code: "invalid", Error: "path: " + err.Error()})
 		return
 	}
-	writeJSON(w, http.StatusOK, h.b.Explain(req))
+	writeJSON(w, http.StatusOK, h.backend.Explain(req))
 }
 
 func (h *handler) timeline(w http.ResponseWriter, r *http.Request) {
-	events, missing := h.b.Timeline(r.Context(), r.URL.Query().Get("request"))
+	events, missing := h.backend.Timeline(r.Context(), r.URL.Query().Get("request"))
 	writeJSON(w, http.StatusOK, TimelineReply{Events: events, Missing: missing})
 }
 
 func (h *handler) rules(w http.ResponseWriter, r *http.Request) {
-	record, err := h.b.Rules(r.Context())
+	record, err := h.backend.Rules(r.Context())
 	if err != nil {
 		writeError(w, 0, err)
 		return
@@ -264,7 +280,7 @@
 }
 
 func (h *handler) history(w http.ResponseWriter, r *http.Request) {
-	list, err := h.b.History(r.Context())
+	list, err := h.backend.History(r.Context())
 	if err != nil {
 		writeError(w, 0, err)
 		return
@@ -281,7 +297,7 @@
 		writeJSON(w, http.StatusUnprocessableEntity, Result{Code: "invalid", Error: err.Error()})
 		return
 	}
-	version, err := h.b.Apply(r.Context(), req.Base, rulestore.Record{ChangeID: req.ChangeID, Author: req.Author, Text: req.Text})
+	version, err := h.backend.Apply(r.Context(), req.Base, rulestore.Record{ChangeID: req.ChangeID, Author: req.Author, Text: req.Text})
 	if err != nil {
 		writeError(w, version, err)
 		return
@@ -294,7 +310,7 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	if err := h.b.Evacuate(r.Context(), req.DataCentre, !req.End); err != nil {
+	if err := h.backend.Evacuate(r.Context(), req.DataCentre, !req.End); err != nil {
 		writeError(w, 0, err)
 		return
 	}
@@ -303,7 +319,7 @@
 
 func (h *handler) quarantine(w http.ResponseWriter, _ *http.Request) {
 	list := []QuarantinedRequest{}
-	for _, n := range h.b.Quarantine() {
+	for _, n := range h.backend.Quarantine() {
 		list = append(list, QuarantinedRequest{Fingerprint: n.Fingerprint.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
 	}
 	writeJSON(w, http.StatusOK, list)
@@ -319,8 +335,8 @@
 		writeJSON(w, http.StatusBadRequest, Result{Code: "invalid", Error: err.Error()})
 		return
 	}
-	if !h.b.Release(f) {
-		writeJSON(w, http.StatusNotFound, Result{Code: "invalid", Error: "no such request is quarantined as far as this instance knows"})
+	if !h.backend.Release(f) {
+		writeJSON(w, http.StatusNotFound, Result{Code: "invalid", Error: "this instance knows of no quarantined request with this fingerprint"})
 		return
 	}
 	writeJSON(w, http.StatusOK, Result{Code: "accepted"})
@@ -340,7 +356,7 @@
 	writeJSON(w, status, Result{Version: version, Code: code, Error: err.Error()})
 }
 
-// InstanceStatusOf turns an instance's description of itself into a line of a Status.
+// InstanceStatusOf converts an instance's description of its state.
 func InstanceStatusOf(d *peerapi.Description) InstanceStatus {
 	return InstanceStatus{ID: d.Instance.ID, DataCentre: d.Instance.DataCentre, Rules: d.RulesVersion, Maps: d.Maps, KnownMs: d.Known.Milliseconds()}
 }
