--- a/state/rulestore/evacuate.go
+++ b/state/rulestore/evacuate.go
@@ -9,33 +9,36 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// evacuateKey stands before the name of a data centre in the key of the row that asks to evacuate it.
-const evacuateKey = "evacuate/"
+// evacuationKeyPrefix and the name of a data centre form the key of the row that exists while the data
+// centre is evacuated.
+const evacuationKeyPrefix = "evacuate/"
 
-// evacuateTries bounds the tries to change a row that somebody else changes too.
-const evacuateTries = 3
+// maxEvacuateAttempts limits the attempts to change a row that is being changed concurrently.
+const maxEvacuateAttempts = 3
 
-// EvacuatedDataCentre returns the data centre that a row of Table asks to evacuate, as long as the row is there.
+// EvacuatedDataCentre returns the data centre that a row of Table marks as evacuated; ok is false for
+// other rows. The evacuation is in force as long as the row exists.
 func EvacuatedDataCentre(row store.Row) (dataCentre string, ok bool) {
-	dataCentre, ok = strings.CutPrefix(row.Key, evacuateKey)
+	dataCentre, ok = strings.CutPrefix(row.Key, evacuationKeyPrefix)
 	return dataCentre, ok && dataCentre != ""
 }
 
-// Evacuate asks that nothing be sent to the targets of a data centre, or takes that back. It is done
-// when it was so before.
+// Evacuate starts the evacuation of a data centre, whose targets then receive no requests, or ends it
+// if inForce is false. It does nothing if the evacuation is already in that state.
 func Evacuate(ctx context.Context, s store.Store, dataCentre string, inForce bool) error {
 	if dataCentre == "" {
-		return fmt.Errorf("%w: the data centre has no name", ErrInvalid)
+		return fmt.Errorf("%w: the name of the data centre is empty", ErrInvalid)
 	}
 	var err error
-	for range evacuateTries {
-		if err = evacuateOnce(ctx, s, store.ID{Table: Table, Key: evacuateKey + dataCentre}, inForce); !errors.Is(err, store.ErrConflict) {
+	for range maxEvacuateAttempts {
+		if err = evacuateOnce(ctx, s, store.ID{Table: Table, Key: evacuationKeyPrefix + dataCentre}, inForce); !errors.Is(err, store.ErrConflict) {
 			break
 		}
 	}
-	return turned(err)
+	return translateError(err)
 }
 
+// evacuateOnce makes one attempt; it returns store.ErrConflict if the row was changed concurrently.
 func evacuateOnce(ctx context.Context, s store.Store, id store.ID, inForce bool) error {
 	rows, _, err := s.Scan(ctx, Table, "")
 	if err != nil {
--- a/state/rulestore/rulestore.go
+++ b/state/rulestore/rulestore.go
@@ -1,5 +1,5 @@
-// Package rulestore keeps the operators' rules in the store, where the platform has no
-// configuration of its own: the rules in force, and the versions before them.
+// Package rulestore stores the operators' rules, for platforms without a configuration of their own.
+// It holds the rules in force and a history of versions, and which data centres are evacuated.
 package rulestore
 
 import (
@@ -13,7 +13,7 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Table holds the rules.
+// Table is the store's table that holds the rules and evacuations.
 const Table = "lycheehall-rules"
 
 const (
@@ -21,39 +21,39 @@
 	historyKey = "history"
 )
 
-// keptVersions is how many versions the history has. Each may have 256 KiB, and rows are
-// bounded by 64 KiB on the platform, so the history keeps names and authors, and texts only
-// as far as they fit.
-const keptVersions = 20
+// maxHistoryVersions is the largest number of versions in the history. A version may take 256 KiB, but
+// a row at most 64 KiB on the platform, so the history holds fewer versions if they do not fit.
+const maxHistoryVersions = 20
 
-// maxHistory bounds the history's row, in bytes.
-const maxHistory = 48 << 10
+// maxHistoryBytes is the largest encoded size of a history with more than one version.
+const maxHistoryBytes = 48 << 10
 
 // Record is one version of the rules.
 type Record struct {
 	Version uint64 `json:"version"`
-	// ChangeID makes a change that is repeated after a lost answer the same change.
+	// ChangeID identifies the change that made this version, so that a client can repeat a change after
+	// a lost answer without making it twice.
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
 	Text     string `json:"text"`
 }
 
-// The errors of Apply.
+// The errors of Apply, Evacuate, Current and History.
 var (
-	// ErrConflict says that another change came first.
+	// ErrConflict reports that another change was made first.
 	ErrConflict = errors.New("rulestore: another change came first")
-	// ErrInvalid says that the rules are not valid.
-	ErrInvalid = errors.New("rulestore: invalid rules")
-	// ErrUncertain says that the change may have been accepted.
+	// ErrInvalid reports that the rules, or other arguments, are not valid.
+	ErrInvalid = errors.New("rulestore: invalid change or rules")
+	// ErrUncertain reports that the change may or may not have been made.
 	ErrUncertain = errors.New("rulestore: the change may have been accepted")
-	// ErrUnavailable says that nothing was changed because the store cannot be reached.
-	ErrUnavailable = errors.New("rulestore: the store cannot be reached")
+	// ErrUnavailable reports that the store is unavailable, and that nothing was changed.
+	ErrUnavailable = errors.New("rulestore: the store is unavailable")
 )
 
 // IsCurrent reports whether a row of Table holds the rules in force.
 func IsCurrent(row store.Row) bool { return row.Key == currentKey }
 
-// Decode reads the rules in force.
+// Decode decodes the row of the rules in force, and returns their version and content.
 func Decode(value []byte) (uint64, *rules.Set, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -66,20 +66,21 @@
 	return r.Version, set, nil
 }
 
-// state is what the table holds.
-type state struct {
+// contents is the content of the table except for evacuations, with the row versions.
+type contents struct {
 	current        Record
 	currentVersion uint64
 	history        []Record
 	historyVersion uint64
 }
 
-func read(ctx context.Context, s store.Store) (*state, error) {
+// read returns the current contents of the table.
+func read(ctx context.Context, s store.Store) (*contents, error) {
 	rows, _, err := s.Scan(ctx, Table, "")
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	st := &state{}
+	st := &contents{}
 	for _, row := range rows {
 		var err error
 		switch row.Key {
@@ -97,7 +98,7 @@
 	return st, nil
 }
 
-// Current returns the rules in force; version 0 if there are none.
+// Current returns the rules in force. Their version is 0 if there are none.
 func Current(ctx context.Context, s store.Store) (Record, error) {
 	st, err := read(ctx, s)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return st.current, nil
 }
 
-// History returns the versions kept, the newest first.
+// History returns the stored versions, including the one in force, newest first.
 func History(ctx context.Context, s store.Store) ([]Record, error) {
 	st, err := read(ctx, s)
 	if err != nil {
@@ -115,9 +116,11 @@
 	return st.history, nil
 }
 
-// Apply puts a text in force that started from version base, and returns its version. A
-// change whose id is that of the version in force is not made again. The version is at least that of the
-// change: a store that came back from a copy may hold an older version than the one in force.
+// Apply replaces the rules if version base is in force, and returns the new version. If the change's ID
+// is that of the version in force, the change has already been made and Apply does nothing.
+//
+// The new version is at least change.Version: a store that was restored from an earlier copy may hold an
+// older version than the one in force.
 func Apply(ctx context.Context, s store.Store, base uint64, change Record) (uint64, error) {
 	if _, err := rules.Parse("rules", change.Text); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -139,7 +142,8 @@
 	return change.Version, nil
 }
 
-func commit(ctx context.Context, s store.Store, st *state, change Record) error {
+// commit writes the change and the extended history, if neither row has been changed since st was read.
+func commit(ctx context.Context, s store.Store, st *contents, change Record) error {
 	current, err := json.Marshal(change)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -154,11 +158,11 @@
 		Expect: []store.Expect{{ID: currentID, Version: st.currentVersion}, {ID: historyID, Version: st.historyVersion}},
 		Writes: []store.Write{{ID: currentID, Value: current}, {ID: historyID, Value: history}},
 	})
-	return turned(err)
+	return translateError(err)
 }
 
-// turned returns the error of a change as one of this layer's.
-func turned(err error) error {
+// translateError converts an error of the store to one of this package.
+func translateError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -170,12 +174,12 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// encodeHistory keeps as many versions as fit.
+// encodeHistory encodes the newest versions that fit, and at least one.
 func encodeHistory(list []Record) ([]byte, error) {
-	list = slices.Clone(list[:min(len(list), keptVersions)])
+	list = slices.Clone(list[:min(len(list), maxHistoryVersions)])
 	for {
 		text, err := json.Marshal(list)
-		if err != nil || len(text) <= maxHistory || len(list) == 1 {
+		if err != nil || len(text) <= maxHistoryBytes || len(list) == 1 {
 			return text, err
 		}
 		list = list[:len(list)-1]
--- a/state/rulestore/rulestore_test.go
+++ b/state/rulestore/rulestore_test.go
@@ -20,7 +20,7 @@
 }
 
 var _ = Describe("an evacuation", func() {
-	It("is in force until it is taken back, however often it is asked for", func() {
+	It("is in force until it is ended, no matter how often either is requested", func() {
 		server := httptest.NewServer(standin.NewStore().Handler())
 		DeferCleanup(server.Close)
 		s := platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
@@ -49,7 +49,9 @@
 })
 
 var _ = Describe("a change of the rules", func() {
-	It("gets a version above the one in force, where the store holds an older one (guards against a change that is taken for an old one)", func() {
+	// Guards against a change that instances ignore as outdated, because a store that was restored from
+	// an earlier copy holds an older version than the one in force.
+	It("gets a version above the one in force if the store holds an older one", func() {
 		stored := standin.NewStore()
 		server := httptest.NewServer(stored.Handler())
 		DeferCleanup(server.Close)
