--- a/state/store/store.go
+++ b/state/store/store.go
@@ -1,6 +1,6 @@
-// Package store describes the transactional store in which everything that must outlive a
-// process is kept. The adapter of a platform implements Store; the rest of lycheehall knows
-// only this interface.
+// Package store defines the interface of the transactional store, which holds all data that must
+// outlive a process. The platform's adapter implements Store; the rest of lycheehall uses only this
+// interface.
 package store
 
 import (
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// The errors of a Store. Each says what is known about the effect of the call.
+// The errors of a Store. Each states what is known about the effect of the call.
 var (
-	// ErrConflict says that a condition of a transaction did not hold; nothing was done.
+	// ErrConflict reports that a condition of a transaction did not hold, and that nothing was changed.
 	// The error is a *ConflictError with the current rows.
 	ErrConflict = errors.New("store: a condition does not hold")
-	// ErrNotApplied says that nothing was done and that the call may be repeated.
-	ErrNotApplied = errors.New("store: not done")
-	// ErrThrottled says that nothing was done because calls come too fast.
+	// ErrNotApplied reports that nothing was changed. The call may be repeated.
+	ErrNotApplied = errors.New("store: not applied")
+	// ErrThrottled reports that nothing was changed because of too many calls.
 	ErrThrottled = errors.New("store: throttled")
-	// ErrOutcomeUnknown says that the call may have taken effect, or may still do so later if its
-	// conditions hold by then.
+	// ErrOutcomeUnknown reports that the call may have taken effect, or may still take effect later if
+	// its conditions hold then.
 	ErrOutcomeUnknown = errors.New("store: outcome unknown")
-	// ErrHistoryGone says that a feed cannot continue from the given version, which may be of a former
-	// era. The table must be read as a whole.
+	// ErrHistoryGone reports that a feed cannot continue from the given version, which may belong to a
+	// previous era. The table must be read again with Scan.
 	ErrHistoryGone = errors.New("store: history is gone")
-	// ErrInvalid says that the store refuses the call as such; repeating it is of no use.
+	// ErrInvalid reports that the store rejects the call itself. Repeating it does not help.
 	ErrInvalid = errors.New("store: invalid call")
 )
 
-// ID names a row.
+// ID identifies a row.
 type ID struct {
 	Table string
 	Part  string
 	Key   string
 }
 
-// Row is a row as it was read.
+// Row is a row that was read.
 type Row struct {
 	ID
 	Value []byte
-	// Version changes with each write of the row and is never used twice; see VersionOf. A count of 0: no
-	// such row.
+	// Version changes with each write of the row, and no version is used twice; see VersionOf. Its
+	// count is 0 if the row does not exist.
 	Version uint64
 	// Deleted marks a row that a feed reports as removed.
 	Deleted bool
@@ -50,28 +50,29 @@
 // Expect is a condition: the row must have exactly this version.
 type Expect struct {
 	ID
-	// Version has a count of 0 when the row must not exist. A version of a former era holds for no row.
+	// Version has a count of 0 if the row must not exist. A version of a previous era never matches.
 	Version uint64
 }
 
-// Write sets a row.
+// Write sets the value of a row.
 type Write struct {
 	ID
 	Value []byte
 }
 
-// Txn is applied whole or not at all. All its rows share one part.
+// Txn is a transaction, which is applied atomically. All its rows must be in the same part.
 type Txn struct {
 	Expect []Expect
 	Writes []Write
 	Remove []ID
 }
 
-// ConflictError carries the current rows of a transaction's conditions.
+// ConflictError holds the current rows that a transaction's conditions refer to.
 type ConflictError struct {
 	Rows []Row
 }
 
+// Error returns ErrConflict's text with the number of current rows.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%v (%d rows read)", ErrConflict, len(e.Rows))
 }
@@ -79,14 +80,14 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Store is a linearizable table service.
+// Store is a linearizable store of tables. Each table is divided into parts.
 type Store interface {
-	// Commit applies a transaction and returns the version of the rows it wrote.
+	// Commit applies a transaction and returns the version of the rows that it has written.
 	Commit(ctx context.Context, txn Txn) (version uint64, err error)
-	// Scan reads all rows of one part of a table as of a single moment, and the version
-	// from which a feed of the table continues.
+	// Scan returns a consistent snapshot of all rows in one part of a table, and the version from which
+	// Feed continues.
 	Scan(ctx context.Context, table, part string) (rows []Row, version uint64, err error)
-	// Feed returns the rows of a table that changed after a version, in order, and the
-	// version to go on from. It waits for the first change for at most wait.
+	// Feed returns the rows of a table that have changed after a version, in order, and the version to
+	// continue from. If there are none, it waits for a change, for at most wait.
 	Feed(ctx context.Context, table string, after uint64, wait time.Duration) (rows []Row, next uint64, err error)
 }
--- a/state/store/version.go
+++ b/state/store/version.go
@@ -1,18 +1,19 @@
 package store
 
-// Versions are counted by the store, and its count goes back when the store comes back from a copy of some
-// seconds before: versions are then given out again, with another content. The store tells so by its era,
-// which rises each time. A version of a Row, or of a reading, is therefore its era and its count in one
-// number, so that what is newer is higher throughout: counts of two eras are never compared.
+// The store assigns versions from a counter. When the store is restored from a copy that is a few seconds
+// old, the counter goes back, and the same counts are assigned again to other content. The store signals
+// this by its era, which increases with each restoration. A version of a row or of a reading therefore
+// combines the era and the count in one number: newer data always has a higher version, and the counts of
+// two eras are never compared.
 
-// eraShift is the number of bits of a version that are the count.
+// eraShift is the number of low bits of a version that hold the count.
 const eraShift = 40
 
-// VersionOf returns the version of a count in an era. The count 0 stands for no row.
+// VersionOf returns the version for a count in an era. The count 0 means that there is no row.
 func VersionOf(era, count uint64) uint64 { return era<<eraShift | count }
 
-// EraOf returns the era that a version was given out in.
+// EraOf returns the era in which a version was assigned.
 func EraOf(version uint64) uint64 { return version >> eraShift }
 
-// CountOf returns the store's own count of a version.
+// CountOf returns the store's count in a version.
 func CountOf(version uint64) uint64 { return version & (1<<eraShift - 1) }
