--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks the settings of an instance. They hold what a
-// process has to know before it can reach anything else; what operators change while
-// the system runs is in the rules.
+// Package settings reads and checks the settings file of an instance. It contains what a process needs
+// to know before it can connect to anything. What operators change at run time is in the rules.
 package settings
 
 import (
@@ -15,67 +14,74 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// Duration is a time written as text, such as "250ms" or "2s".
+// Duration is a time.Duration that is written as text, such as "250ms" or "2s".
 type Duration = clock.Duration
 
-// Who keeps the rules.
+// The values of Settings.Rules: where the rules are stored.
 const (
 	RulesFromPlatform = "platform"
 	RulesFromStore    = "lycheehall"
 )
 
-// Settings of an instance.
+// Settings holds the settings of an instance.
 type Settings struct {
-	// Name is the instance's name; each start adds a suffix of its own.
+	// Name is the instance's name. Each start of the process appends a unique suffix.
 	Name string `toml:"name" comment:"Name of this instance; each start adds a suffix of its own."`
 	// DataCentre is where the instance runs.
 	DataCentre string `toml:"data_centre" comment:"Data centre that this instance runs in."`
-	// Weight is the part of a processor core that the instance has.
+	// Weight is the share of a processor core that the instance has. Duties for other instances are
+	// distributed in proportion to it.
 	Weight float64 `toml:"weight" comment:"Part of a processor core that this instance has; duties for others are shared by it."`
-	// Listen is the address for callers.
+	// Listen is the address for callers, as IP:port like all addresses here.
 	Listen string `toml:"listen" comment:"Address for callers, as IP:port."`
-	// Readiness is the address for the balancer's health checks.
+	// Readiness is the address for the load balancer's health checks.
 	Readiness string `toml:"readiness" comment:"Address for the balancer's health checks, as IP:port."`
 	// Peer is the address for other instances; they must be able to reach it.
 	Peer string `toml:"peer" comment:"Address for other instances, as IP:port that they can reach."`
-	// Seeds are the peer addresses of other instances.
+	// Seeds are the peer addresses of a few instances to contact at the start. If there are none, the
+	// instance reads from the store instead.
 	Seeds []string `toml:"seeds" comment:"Peer addresses of a few instances that are asked at the start, as IP:port; none: the store is read instead."`
 	// Admin is the address for operators and metrics.
 	Admin string `toml:"admin" comment:"Address for operators and metrics, as IP:port."`
 	// Platform is the address of the platform's store.
 	Platform string `toml:"platform" comment:"Address of the platform's store, as IP:port."`
-	// Grace is how long the process may take to stop.
+	// Grace is the time from SIGTERM until the platform kills the process.
 	Grace Duration `toml:"grace" comment:"Time from SIGTERM until the platform ends the process."`
-	// HoldMax is the longest hold of a grant that targets accept.
+	// HoldMax is the longest hold of a grant of keys that targets accept.
 	HoldMax Duration `toml:"hold_max" comment:"Longest hold of a grant of keys that targets accept."`
-	// Drain is how long a target goes on to take requests after it has said that it leaves.
+	// Drain is how long a target still takes requests after it has announced that it is leaving.
 	Drain Duration `toml:"drain" comment:"Time for which a target takes requests after it has said that it leaves."`
-	// MaxBody is the largest body accepted, in bytes.
+	// MaxBody is the largest accepted request body, in bytes.
 	MaxBody int64 `toml:"max_body" comment:"Largest request body accepted, in bytes."`
-	// Rules says who keeps the rules: "platform", or "lycheehall" itself in the store.
+	// Rules is where the rules come from: RulesFromPlatform, the platform's own configuration, or
+	// RulesFromStore, lycheehall's table in the store.
 	Rules string `toml:"rules" comment:"Who keeps the rules: \"platform\", or \"lycheehall\" itself in the store."`
-	// Secret authenticates instances to one another.
+	// Secret authenticates instances to one another. If it is empty, calls from any process that can
+	// reach the peer address are accepted.
 	Secret string `toml:"secret" comment:"Secret shared by all instances, at least 16 characters; empty: whoever reaches the peer address is obeyed."`
-	// TLSCert, TLSKey and TLSCA are PEM files that encrypt calls between instances.
+	// TLSCert, TLSKey and TLSCA are PEM files: the instance's certificate, its private key and the
+	// authority that issues the certificates. If they are empty, calls between instances are not
+	// encrypted.
 	TLSCert string `toml:"tls_cert" comment:"PEM file with this instance's certificate, for its IP number; empty: calls between instances are not encrypted."`
 	TLSKey  string `toml:"tls_key" comment:"PEM file with its key."`
 	TLSCA   string `toml:"tls_ca" comment:"PEM file with the authority that issued all instances' certificates."`
-	// OperatorToken is asked of operators.
+	// OperatorToken is the bearer token that operators must send. If it is empty, the admin address
+	// answers queries without one, and accepts no changes.
 	OperatorToken string  `toml:"operator_token" comment:"Token that operators must give, at least 16 characters; empty: the operators' address answers questions and takes no changes."`
 	Retries       Retries `toml:"retries" comment:"What all instances together may send again."`
 }
 
-// Retries bounds the requests that are sent again, over all instances together.
+// Retries is the retry budget of a service, over all instances together.
 type Retries struct {
-	// Ratio is the share of a service's requests.
+	// Ratio is the share of a service's requests that may be retried within the window.
 	Ratio float64 `toml:"ratio" comment:"Share of a service's requests that may be sent again within the window."`
-	// Slack is the number beside that.
+	// Slack is the number of additional retries within the window.
 	Slack float64 `toml:"slack" comment:"Number that may be sent again beside that."`
-	// Window is the time over which both are counted.
+	// Window is the period over which both are counted.
 	Window Duration `toml:"window" comment:"Time over which both are counted."`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the defaults for settings that a file omits.
 func Default() Settings {
 	return Settings{
 		Name: "instance", DataCentre: "dc1", Weight: 1,
@@ -89,7 +95,8 @@
 	}
 }
 
-// Load reads a file on top of the defaults and checks the result.
+// Load reads a file, applies the defaults and checks the result. The error has one line for each
+// mistake.
 func Load(path string) (Settings, error) {
 	s := Default()
 	text, err := os.ReadFile(path)
@@ -97,7 +104,7 @@
 		return s, fmt.Errorf("settings: %w", err)
 	}
 	err = toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&s)
-	if err := describe(path, err); err != nil {
+	if err := describeDecodeError(path, err); err != nil {
 		return s, err
 	}
 	if err := s.Validate(); err != nil {
@@ -106,99 +113,100 @@
 	return s, nil
 }
 
-// describe names the line and field of what is wrong with the file.
-func describe(path string, err error) error {
+// describeDecodeError adds the line and field to an error of the TOML decoder.
+func describeDecodeError(path string, err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var lines []string
 		for i := range strict.Errors {
 			row, _ := strict.Errors[i].Position()
-			lines = append(lines, fmt.Sprintf("%s:%d: %s: unknown field; --print-defaults lists the fields there are", path, row, strings.Join(strict.Errors[i].Key(), ".")))
+			lines = append(lines, fmt.Sprintf("%s:%d: %s: unknown field; --print-defaults lists all fields", path, row, strings.Join(strict.Errors[i].Key(), ".")))
 		}
 		return errors.New(strings.Join(lines, "\n"))
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		row, _ := bad.Position()
-		return fmt.Errorf("%s:%d: %s: %w", path, row, strings.Join(bad.Key(), "."), bad)
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, _ := decodeErr.Position()
+		return fmt.Errorf("%s:%d: %s: %w", path, row, strings.Join(decodeErr.Key(), "."), decodeErr)
 	}
 	return err
 }
 
-// MinSecretLength is the shortest secret accepted, in characters.
+// MinSecretLength is the smallest accepted length of a secret or token, in bytes.
 const MinSecretLength = 16
 
-// Validate reports everything that is wrong, one line for each field.
+// Validate returns an error with one line for each invalid setting, or nil.
 func (s Settings) Validate() error {
 	var errs []error
-	bad := func(field, format string, args ...any) {
+	invalid := func(field, format string, args ...any) {
 		errs = append(errs, fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
 	}
 	if s.Name == "" || strings.ContainsAny(s.Name, "/ ") {
-		bad("name", "is %q; give a name without spaces and slashes", s.Name)
+		invalid("name", "is %q; give a name without spaces and slashes", s.Name)
 	}
 	if s.DataCentre == "" {
-		bad("data_centre", "is missing")
+		invalid("data_centre", "is missing")
 	}
 	if s.Weight <= 0 {
-		bad("weight", "is %v; write a number above 0", s.Weight)
+		invalid("weight", "is %v; write a positive number", s.Weight)
 	}
 	addresses := []struct{ field, value string }{
 		{"listen", s.Listen}, {"readiness", s.Readiness}, {"peer", s.Peer}, {"admin", s.Admin}, {"platform", s.Platform},
 	}
 	for _, a := range addresses {
 		if err := checkAddress(a.value); err != nil {
-			bad(a.field, "%v", err)
+			invalid(a.field, "%v", err)
 		}
 	}
 	for _, seed := range s.Seeds {
 		if err := checkAddress(seed); err != nil {
-			bad("seeds", "%v", err)
+			invalid("seeds", "%v", err)
 		}
 	}
 	if time.Duration(s.Grace) < time.Second {
-		bad("grace", "is %v; write at least 1s", time.Duration(s.Grace))
+		invalid("grace", "is %v; write at least 1s", time.Duration(s.Grace))
 	}
 	if time.Duration(s.HoldMax) < time.Second {
-		bad("hold_max", "is %v; write at least 1s", time.Duration(s.HoldMax))
+		invalid("hold_max", "is %v; write at least 1s", time.Duration(s.HoldMax))
 	}
 	if time.Duration(s.Drain) < 0 {
-		bad("drain", "is %v; write at least 0s", time.Duration(s.Drain))
+		invalid("drain", "is %v; write at least 0s", time.Duration(s.Drain))
 	}
 	if s.MaxBody < 1 {
-		bad("max_body", "is %d; write a number of bytes above 0", s.MaxBody)
+		invalid("max_body", "is %d; write a positive number of bytes", s.MaxBody)
 	}
 	if s.Secret != "" && len(s.Secret) < MinSecretLength {
-		bad("secret", "has %d characters; give at least %d", len(s.Secret), MinSecretLength)
+		invalid("secret", "has %d characters; give at least %d", len(s.Secret), MinSecretLength)
 	}
 	if s.OperatorToken != "" && len(s.OperatorToken) < MinSecretLength {
-		bad("operator_token", "has %d characters; give at least %d", len(s.OperatorToken), MinSecretLength)
+		invalid("operator_token", "has %d characters; give at least %d", len(s.OperatorToken), MinSecretLength)
 	}
 	if given := s.TLSCert != ""; given != (s.TLSKey != "") || given != (s.TLSCA != "") {
-		bad("tls_cert", "tls_cert, tls_key and tls_ca belong together; give all three or none")
+		invalid("tls_cert", "tls_cert, tls_key and tls_ca belong together; give all three or none")
 	}
 	if s.Rules != RulesFromPlatform && s.Rules != RulesFromStore {
-		bad("rules", "is %q; write %q or %q", s.Rules, RulesFromPlatform, RulesFromStore)
+		invalid("rules", "is %q; write %q or %q", s.Rules, RulesFromPlatform, RulesFromStore)
 	}
 	if s.Retries.Ratio < 0 || s.Retries.Slack < 0 || s.Retries.Window <= 0 {
-		bad("retries", "ratio and slack must not be negative, and window must be above 0s")
+		invalid("retries", "ratio and slack must not be negative, and window must be positive")
 	}
 	return errors.Join(errs...)
 }
 
-// checkAddress asks for an IP number and a port: names are not looked up.
+// checkAddress checks that an address consists of an IP address and a port. Host names are not
+// accepted, because the process does not resolve names.
 func checkAddress(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return fmt.Errorf("is %q; write IP:port", address)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("is %q; write an IP number before the port", address)
+		return fmt.Errorf("is %q; write an IP address before the port", address)
 	}
 	return nil
 }
 
-// Print returns the settings as a file with a comment for each field.
+// Print returns the settings as a TOML file with a comment for each field.
 func Print(s Settings) (string, error) {
 	text, err := toml.Marshal(s)
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,12 +27,12 @@
 const secrets = "secret = \"0123456789abcdef\"\noperator_token = \"0123456789abcdef\"\n"
 
 var _ = Describe("settings", func() {
-	It("are valid with the defaults, with and without secrets", func() {
+	It("are valid by default, with and without secrets", func() {
 		Expect(load(secrets)).To(Succeed())
 		Expect(load("")).To(Succeed())
 	})
 
-	It("are printed in a form that is read back", func() {
+	It("are printed in a form that can be loaded", func() {
 		s := settings.Default()
 		s.Secret, s.OperatorToken = "0123456789abcdef", "0123456789abcdef"
 		text, err := settings.Print(s)
@@ -40,10 +40,10 @@
 		Expect(load(text)).To(Succeed())
 	})
 
-	DescribeTable("name the field and the fix",
+	DescribeTable("are rejected with the field and what to write instead",
 		func(text, want string) { Expect(load(secrets + text)).To(MatchError(ContainSubstring(want))) },
 		Entry("unknown field", "colour = 1\n", "s.toml:3: colour: unknown field"),
-		Entry("host name", `peer = "host:1"`, `peer: is "host:1"; write an IP number`),
+		Entry("host name", `peer = "host:1"`, `peer: is "host:1"; write an IP address`),
 		Entry("no port", `listen = "127.0.0.1"`, "listen: "),
 		Entry("bad duration", `grace = "fast"`, "write a duration"),
 		Entry("negative duration", `grace = "-1s"`, "grace: is -1s"),
@@ -52,7 +52,7 @@
 		Entry("retries", "[retries]\nratio = -0.1", "retries: ratio"),
 	)
 
-	It("report all mistakes at once", func() {
+	It("are rejected with all mistakes at once", func() {
 		err := load("name = \"\"\nmax_body = 0\nsecret = \"x\"\noperator_token = \"y\"\n")
 		for _, field := range []string{"name: ", "max_body: ", "secret: ", "operator_token: "} {
 			Expect(err).To(MatchError(ContainSubstring(field)))
