--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,9 +1,9 @@
-// Package eventlog writes one JSON line for each decision about a request or change of
-// belief, and keeps the newest ones for the time line.
+// Package eventlog writes the log: one JSON line for each handled request and each state change. It
+// also holds the latest of these events in memory for the timeline.
 //
-// Lines are bounded and never block: each goes into a queue of fixed size from which one
-// goroutine writes. A line that finds the queue full, or the second's allowance used up, is
-// left out and counted; the next line that is written says how many were.
+// Logging never blocks: a line is put into a queue of fixed size, from which one goroutine writes. A
+// line is dropped if the queue is full or the rate limit is exceeded. Dropped lines are counted, and
+// the next line that is written contains their number.
 package eventlog
 
 import (
@@ -21,72 +21,73 @@
 )
 
 const (
-	// queueLength holds what comes while one write is slow.
+	// queueLength is the capacity of the queue in lines. It absorbs the lines logged during a slow write.
 	queueLength = 2048
-	// linesPerSecond bounds the lines; an instance answers some tens of requests a second
-	// on an ordinary day, and a few hundred on the heaviest.
+	// linesPerSecond is the rate limit. An instance handles some tens of requests a second on an
+	// ordinary day, and a few hundred on the busiest.
 	linesPerSecond = 600
-	// keptRequests and keptEvents are the lines kept for the time line, those about requests
-	// apart from the others, which they would crowd out.
-	keptRequests = 512
-	keptEvents   = 512
+	// requestRingSize and eventRingSize are the numbers of events held for the timeline. Events about
+	// requests have a ring of their own, because they would displace all others.
+	requestRingSize = 512
+	eventRingSize   = 512
 )
 
 var linesDropped = metrics.GetOrCreateCounter("lycheehall_log_lines_dropped_total")
 
-// RequestEvent is the name of the lines about requests.
+// RequestEvent is the name of the events about requests.
 const RequestEvent = "request"
 
-// Log writes lines. It is safe for concurrent use.
+// Log writes events as lines. It is safe for concurrent use.
 type Log struct {
-	handler  log.Handler
-	instance string
-	limiter  *rate.Limiter
-	queue    chan *log.Entry
-	written  chan struct{}
-	events   *timeline.Ring
-	requests *timeline.Ring
-
-	mu      sync.Mutex
+	handler    log.Handler
+	instance   string
+	limiter    *rate.Limiter
+	queue      chan *log.Entry
+	writerDone chan struct{}
+	events     *timeline.Ring
+	requests   *timeline.Ring
+
+	mu sync.Mutex
+	// dropped is the number of lines dropped since the last one that was queued.
 	dropped int
 	closed  bool
 }
 
-// New returns a log that names the instance in each line. Close must be called to have all
-// lines written.
+// New returns a log that writes to w and adds the instance to each line. The caller must call Close,
+// which writes the lines that are still queued.
 func New(w io.Writer, instance string) *Log {
 	l := &Log{
 		handler: json.New(w), instance: instance,
 		limiter: rate.NewLimiter(linesPerSecond, linesPerSecond),
-		queue:   make(chan *log.Entry, queueLength), written: make(chan struct{}),
-		events: timeline.NewRing(instance, keptEvents), requests: timeline.NewRing(instance, keptRequests),
+		queue:   make(chan *log.Entry, queueLength), writerDone: make(chan struct{}),
+		events: timeline.NewRing(instance, eventRingSize), requests: timeline.NewRing(instance, requestRingSize),
 	}
 	go l.write()
 	return l
 }
 
 func (l *Log) write() {
-	defer close(l.written)
+	defer close(l.writerDone)
 	for e := range l.queue {
-		// There is nowhere to report that a log line cannot be written.
+		// An error cannot be reported, since the log itself has failed.
 		_ = l.handler.HandleLog(e)
 	}
 }
 
-// Lamport returns the time of the time line, to be sent with a report.
+// Lamport returns the Lamport time, to be sent with a message.
 func (l *Log) Lamport() uint64 { return l.events.Lamport() }
 
-// Witness takes in the time that came with a report.
+// Witness advances the Lamport time to at least the time received with a message.
 func (l *Log) Witness(lamport uint64) { l.events.Witness(lamport) }
 
-// Events returns the changes of belief that are kept, the oldest first.
+// Events returns the latest state changes, oldest first.
 func (l *Log) Events() []timeline.Event { return l.events.Events() }
 
-// Requests returns the decisions about requests that are kept, the oldest first.
+// Requests returns the latest events about requests, oldest first.
 func (l *Log) Requests() []timeline.Event { return l.requests.Events() }
 
-// Event writes a line: its name, then names and values in turn. The values must not change
-// any more.
+// Event logs an event. Fields are alternating names and values; the values must not be modified
+// afterwards.
 func (l *Log) Event(name string, fields ...any) {
 	now := time.Now()
 	ring := l.events
@@ -133,7 +134,7 @@
 	l.mu.Unlock()
 }
 
-// Close writes what is queued; lines that come later are left out.
+// Close waits until all queued lines are written. Lines logged afterwards are discarded.
 func (l *Log) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -141,5 +142,5 @@
 		close(l.queue)
 	}
 	l.mu.Unlock()
-	<-l.written
+	<-l.writerDone
 }
