--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,9 +1,9 @@
-// Package timeline records events in bounded rings and merges the rings of several
-// processes into one time line.
+// Package timeline records events in ring buffers of fixed size, and merges the buffers of several
+// processes into one timeline.
 //
-// The order does not trust clocks: every event carries a Lamport time, every report between
-// processes carries the sender's, and a receiver goes on from the larger one. So an event
-// that could have caused another always comes before it.
+// The order does not depend on wall clocks. Every event has a Lamport time, messages between processes
+// contain the sender's Lamport time, and the receiver continues from the larger of the two. Therefore an
+// event always precedes the events that it may have caused.
 package timeline
 
 import (
@@ -15,30 +15,30 @@
 	"time"
 )
 
-// Event is one entry of a time line.
+// Event is one entry of a timeline.
 type Event struct {
-	// Lamport orders events causally over all processes.
+	// Lamport is the Lamport time, which orders events causally across processes.
 	Lamport uint64 `json:"lamport"`
-	// Instance and Seq identify the event; Seq grows by one for each event of a process.
+	// Instance and Seq identify the event within its ring; Seq increases by one for each event.
 	Instance string `json:"instance"`
 	Seq      uint64 `json:"seq"`
-	// Time is the process's own wall clock, for people only.
+	// Time is the process's wall clock time. It is informational and not used for ordering.
 	Time time.Time `json:"time"`
-	// Kind names what happened, Fields its inputs and outcome, names and values in turn.
+	// Kind is what happened, Fields its inputs and outcome.
 	Kind   string  `json:"kind"`
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Field is a name with its value as text.
+// Field is a name and a value as text.
 type Field struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// KindDropped is the kind of the entry that stands for events that are no longer kept.
+// KindDropped is the kind of an entry that represents events which are no longer in the ring.
 const KindDropped = "events-dropped"
 
-// String returns the event on one line, without its wall clock time.
+// String returns the event as one line, without its wall clock time.
 func (e Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%6d %-12s %-16s", e.Lamport, e.Instance, e.Kind)
@@ -48,7 +48,7 @@
 	return strings.TrimRight(b.String(), " ")
 }
 
-// record is an event whose values are not yet written as text.
+// record is an event whose values have not been converted to text yet.
 type record struct {
 	lamport, seq uint64
 	time         time.Time
@@ -56,24 +56,25 @@
 	fields       []any
 }
 
-// Ring keeps the newest events of one process. It is safe for concurrent use; its lock is a
-// leaf.
+// Ring is a ring buffer of the latest events of one process. It is safe for concurrent use. No other
+// lock is acquired while its lock is held.
 type Ring struct {
 	mu       sync.Mutex
 	instance string
 	lamport  uint64
 	seq      uint64
 	records  []record
-	next     int
+	// next is the index of the oldest record once the ring is full.
+	next int
 }
 
-// NewRing returns a ring for size events.
+// NewRing returns a ring with a capacity of size events.
 func NewRing(instance string, size int) *Ring {
 	return &Ring{instance: instance, records: make([]record, 0, size)}
 }
 
-// Record keeps an event, in place of the oldest one when the ring is full, and returns its
-// Lamport time. Fields are names and values in turn; the values must not change any more.
+// Record adds an event and returns its Lamport time. If the ring is full, the event replaces the oldest
+// one. Fields are alternating names and values; the values must not be modified afterwards.
 func (r *Ring) Record(now time.Time, kind string, fields ...any) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,21 +90,21 @@
 	return e.lamport
 }
 
-// Lamport returns the time to send with a message.
+// Lamport returns the Lamport time, to be sent with a message.
 func (r *Ring) Lamport() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lamport
 }
 
-// Witness takes in the time that came with a message.
+// Witness advances the Lamport time to at least the time received with a message.
 func (r *Ring) Witness(lamport uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lamport = max(r.lamport, lamport)
 }
 
-// Events returns the events kept, the oldest first.
+// Events returns the events in the ring, oldest first.
 func (r *Ring) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,8 +119,8 @@
 	return events
 }
 
-// Merge puts the events of several processes into one causal order. A gap in a process's
-// sequence numbers shows as an entry of the kind Dropped.
+// Merge merges the events of several rings into one causal order. If a ring no longer holds its first
+// events, an entry of kind KindDropped with their number takes their place.
 func Merge(rings ...[]Event) []Event {
 	var all []Event
 	for _, events := range rings {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -13,10 +13,10 @@
 	RunSpecs(t, "Timeline")
 }
 
-var _ = Describe("a time line", func() {
-	// Symptom: an effect stands before its cause. Sequence: the clock of the process that
-	// acted first is an hour ahead. Cause: clocks of machines differ.
-	It("puts a cause before its effect whatever the clocks say", func() {
+var _ = Describe("a timeline", func() {
+	// Guards against an effect that is listed before its cause, because the wall clock of the process
+	// that acted first is ahead.
+	It("lists a cause before its effect even if wall clocks disagree", func() {
 		a, b := NewRing("a", 10), NewRing("b", 10)
 		late := time.Unix(7200, 0)
 		a.Record(late, "map-stored")
@@ -27,7 +27,7 @@
 		Expect(merged[1].Kind).To(Equal("map-adopted"))
 	})
 
-	It("keeps the newest events and shows that older ones are gone", func() {
+	It("holds the latest events and shows how many older ones were dropped", func() {
 		r := NewRing("a", 3)
 		for range 5 {
 			r.Record(time.Time{}, "request")
@@ -38,7 +38,7 @@
 		Expect(merged[1].Seq).To(Equal(uint64(3)))
 	})
 
-	It("writes an event with its fields on one line", func() {
+	It("prints an event with its fields on one line", func() {
 		r := NewRing("a", 3)
 		r.Record(time.Time{}, "lease-taken", "term", 4, "lease", uint64(9))
 		Expect(r.Events()[0].String()).To(Equal("     1 a            lease-taken      term=4 lease=9"))
