--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,8 @@
-// Package clock gives the monotonic time that every lease, session and grant is
-// measured with.
+// Package clock provides the monotonic time by which leases, sessions and grants are measured.
 //
-// An Instant is only comparable with Instants of the same process. No instant is
-// ever sent to another process: messages carry durations, and each side counts
-// them on its own clock from the end that is safe for it.
+// An Instant is comparable only with other Instants of the same process, and is never sent to another
+// process. Messages contain durations instead. Each side measures a duration on its own clock, and starts
+// it at the point that is safe for its role: sending or receiving the message.
 package clock
 
 import (
@@ -12,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a point on one process's clock, as the time since an arbitrary origin.
+// Instant is a point in time on one process's clock: the time since an arbitrary origin.
 type Instant time.Duration
 
-// Never is an Instant before every other one.
+// Never is an Instant before all others, for events that have not occurred.
 const Never Instant = -1 << 62
 
-// Add returns the instant d after i.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the duration from j to i.
+// Sub returns the duration i-j.
 func (i Instant) Sub(j Instant) time.Duration { return time.Duration(i - j) }
 
 // Later returns the later of i and j.
@@ -32,19 +31,19 @@
 	return i
 }
 
-// Clock tells the current instant.
+// Clock provides the current time. Tests replace it by a clock that they control.
 type Clock interface {
 	Now() Instant
 }
 
 // System is the clock of the operating system.
 //
-// It reads CLOCK_BOOTTIME, not CLOCK_MONOTONIC: the latter stands still while a
-// machine is suspended, so that an instance that wakes up would take a lease that
-// has long been given to another for its own.
+// It reads CLOCK_BOOTTIME rather than CLOCK_MONOTONIC. The latter stops while a machine is suspended, so
+// that an instance would, after a suspension, continue to use a lease that has long expired and been
+// acquired by another instance.
 type System struct{}
 
-// Now returns the time since the machine was started, suspensions included.
+// Now returns the time since the machine was booted, including suspensions.
 func (System) Now() Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/clock/duration.go
+++ b/clock/duration.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Duration is a time.Duration written as text, such as "250ms" or "2s".
+// Duration is a time.Duration that is written as text, such as "250ms" or "2s".
 type Duration time.Duration
 
-// UnmarshalText reads the form that time.ParseDuration takes.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -18,5 +18,5 @@
 	return nil
 }
 
-// MarshalText writes the form that UnmarshalText reads.
+// MarshalText returns the format that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
