--- a/coordination/view/board.go
+++ b/coordination/view/board.go
@@ -17,78 +17,81 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Snapshot is a consistent set of beliefs.
+// Snapshot is a consistent, immutable state of everything that the instance knows.
 type Snapshot struct {
-	// Rules are nil until the first configuration is known.
+	// Rules is nil until the first configuration is known.
 	Rules        *rules.Set
 	RulesVersion uint64
 
 	Targets map[string]Target
-	// ByService lists the targets of each service, sorted by id.
+	// ByService lists the targets of each service, sorted by ID.
 	ByService map[string][]Target
-	// TargetsDigest identifies the targets, apart from what changes with each heartbeat;
-	// 0: there are none. Instances that believe the same have the same one, whoever told
-	// them.
+	// TargetsDigest is a hash over the targets, without the fields that change with each heartbeat;
+	// 0 means that there are none. Instances that know the same targets have the same digest,
+	// wherever they learned of them.
 	TargetsDigest uint64
 
 	Maps map[string]*keyrange.Map
 
-	// Evacuations are the data centres to whose targets nothing is to be sent.
+	// Evacuations are the evacuated data centres.
 	Evacuations Evacuations
 
-	// Instances are the ones that the leading instance hears from, sorted by id, itself
-	// included. The version is the leader's epoch and a count.
+	// Instances are the instances that report to the leader and the leader itself, sorted by ID.
 	Instances        []Instance
 	InstancesVersion InstancesVersion
 
-	// Changed is closed when another snapshot has replaced this one.
+	// Changed is closed when a newer snapshot has replaced this one.
 	Changed chan struct{}
 }
 
-// InstancesVersion orders lists of instances: by the leader's term, then by its count.
+// InstancesVersion orders lists of instances: by the leader's term, then by the number of lists
+// that it has published.
 type InstancesVersion struct {
 	Term  uint64
 	Count uint64
 }
 
-// Compare returns -1, 0 or 1 as v is before, the same as or after w.
+// Compare returns -1, 0 or 1 if v is older than, equal to or newer than w.
 func (v InstancesVersion) Compare(w InstancesVersion) int {
 	return cmp.Or(cmp.Compare(v.Term, w.Term), cmp.Compare(v.Count, w.Count))
 }
 
-// goneAfter is how long a target stays believed after it was missing from the registry for
-// the first time since the registry could be read again. The registry drops entries while
-// its store is away; those that live are listed again within two seconds.
-const goneAfter = 2 * time.Second
+// missingGrace is how long a missing target is retained after the registry can be read again. The
+// registry drops entries while its store is unavailable; targets that still run are listed again
+// within two seconds.
+const missingGrace = 2 * time.Second
 
-// gap is the longest time without a reading of the registry after which it still counts as
-// read without interruption.
-const gap = 1500 * time.Millisecond
+// maxReadGap is the longest pause between two readings of the registry that doesn't count as an
+// interruption.
+const maxReadGap = 1500 * time.Millisecond
 
-// Board holds the current snapshot. It is safe for concurrent use.
+// Board holds the current snapshot and replaces it as newer data arrives. It is safe for concurrent
+// use.
 type Board struct {
 	clock   clock.Clock
 	current atomic.Pointer[Snapshot]
 
 	mu sync.Mutex
-	// targetsRead and rulesRead are the versions of the store as of which the registry and the
-	// configuration were last read.
+	// targetsRead and rulesRead are the store versions at which the registry and the configuration
+	// were last read.
 	targetsRead uint64
 	rulesRead   uint64
-	// targetsAt and rulesAt are when the registry and the configuration were current.
+	// targetsAt and rulesAt are the latest times at which the known targets and the known
+	// configuration were current.
 	targetsAt clock.Instant
 	rulesAt   clock.Instant
-	// kept are the targets that are believed though the last reading lacked them.
-	kept Retained
-	// steadySince is since when the registry has been read without interruption.
-	steadySince clock.Instant
-	// returnedAt is when the registry was first read after the store came back from a copy.
-	returnedAt clock.Instant
+	// retained are the known targets that the last reading of the registry did not list.
+	retained Retained
+	// uninterruptedSince is when the current run of readings of the registry without an
+	// interruption began.
+	uninterruptedSince clock.Instant
+	// restoredAt is when the registry was first read after the store had been restored from a copy.
+	restoredAt clock.Instant
 }
 
-// NewBoard returns a board that knows nothing.
+// NewBoard returns a board with an empty snapshot.
 func NewBoard(c clock.Clock) *Board {
-	b := &Board{clock: c, targetsAt: clock.Never, rulesAt: clock.Never, steadySince: c.Now(), returnedAt: clock.Never}
+	b := &Board{clock: c, targetsAt: clock.Never, rulesAt: clock.Never, uninterruptedSince: c.Now(), restoredAt: clock.Never}
 	b.current.Store(&Snapshot{
 		Targets:   map[string]Target{},
 		ByService: map[string][]Target{},
@@ -101,8 +104,8 @@
 // Load returns the current snapshot.
 func (b *Board) Load() *Snapshot { return b.current.Load() }
 
-// replace publishes a changed copy. The caller holds the lock.
-func (b *Board) replace(change func(*Snapshot)) {
+// publish replaces the current snapshot by a changed copy of it. The caller holds the lock.
+func (b *Board) publish(change func(*Snapshot)) {
 	old := b.current.Load()
 	next := *old
 	next.Changed = make(chan struct{})
@@ -111,8 +114,8 @@
 	close(old.Changed)
 }
 
-// SetRules adopts a configuration that was current at the given time, unless it is older
-// than the one in force. It reports whether it is new.
+// SetRules adopts a configuration that was current at the given time, unless its version is not
+// above that of the known one. It reports whether the configuration was adopted.
 func (b *Board) SetRules(version uint64, set *rules.Set, at clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,14 +124,14 @@
 	if old.Rules != nil && version <= old.RulesVersion {
 		return false
 	}
-	b.replace(func(s *Snapshot) {
+	b.publish(func(s *Snapshot) {
 		s.Rules = set
 		s.RulesVersion = version
 	})
 	return true
 }
 
-// ConfirmRules notes that the configuration in force was current at the given time and as of a
+// ConfirmRules records that the known configuration was current at the given time and at the given
 // version of the store.
 func (b *Board) ConfirmRules(read uint64, at clock.Instant) {
 	b.mu.Lock()
@@ -137,16 +140,17 @@
 	b.rulesAt = b.rulesAt.Later(at)
 }
 
-// RulesReadVersion returns the version of the store as of which the configuration was last read, here
-// or by the instance that told it; 0: it is not known.
+// RulesReadVersion returns the store version at which the configuration was last read, by this
+// instance or by the one that sent it; 0 if it is not known.
 func (b *Board) RulesReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rulesRead
 }
 
-// SetTargets adopts a reading of the registry as of a version of the store, current at the
-// given time. It returns the ids that are no longer believed, and those that are new.
+// SetTargets adopts a reading of the registry at a version of the store, current at the given time.
+// It returns the IDs of the targets that were removed and of those that were added. A reading that
+// is older than the last one is ignored.
 func (b *Board) SetTargets(version uint64, list map[string]Target, at clock.Instant) (gone, added []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,41 +159,44 @@
 	}
 	before := b.targetsRead
 	b.targetsRead = version
-	b.readAt(at)
+	b.noteRead(at)
 	if before != 0 && store.EraOf(version) > store.EraOf(before) {
-		b.returnedAt, b.steadySince = at, at
+		b.restoredAt, b.uninterruptedSince = at, at
 	}
-	return b.replaceTargets(b.believe(before, b.current.Load().Targets, list))
+	return b.publishTargets(b.retainMissing(before, b.current.Load().Targets, list))
 }
 
-// SetLeaderTargets adopts what the leading instance believes, as of the version of the store that
-// it has read. Unlike a reading of the registry after an interruption it says which targets
-// are gone: whoever told it has read all the while, or keeps what may only have lapsed. It
-// reports whether the list was taken as a whole; one that is older than what was read here is not.
+// SetLeaderTargets adopts the list of targets that the leader sent, at the version of the store
+// that the leader has read. A target missing from this list is gone, unlike one missing from the
+// first readings after an interruption: the leader has read the registry all the time, or its list
+// includes the targets whose entries may only have lapsed. SetLeaderTargets reports whether the
+// list was adopted as a whole; a list that is older than what this instance has read is not
+// adopted.
 //
-// What the teller only keeps is not taken where this instance has read, or been told, since it was listed
-// for the last time: it would have known of it.
-func (b *Board) SetLeaderTargets(version uint64, list map[string]Target, kept Retained, at clock.Instant) bool {
+// A target that the sender only retains is not adopted if this instance's own data is newer than
+// the last reading that listed the target: this instance would know the target.
+func (b *Board) SetLeaderTargets(version uint64, list map[string]Target, retained Retained, at clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if version < b.targetsRead {
 		return false
 	}
 	old := b.current.Load().Targets
-	believed := b.sinceWhen(old, list)
+	targets := b.carryOverTimes(old, list)
 	whole := true
-	if b.targetsRead > kept.AsOf {
-		whole = preferOwn(believed, old, kept.IDs)
+	if b.targetsRead > retained.AsOf {
+		whole = preferOwnEntries(targets, old, retained.IDs)
 	}
 	b.targetsRead = version
-	b.kept = kept
-	b.readAt(at)
-	b.replaceTargets(believed)
+	b.retained = retained
+	b.noteRead(at)
+	b.publishTargets(targets)
 	return whole
 }
 
-// preferOwn has a list say of some targets what the own one says, and reports whether all of them stay in it.
-func preferOwn(list, own map[string]Target, ids []string) bool {
+// preferOwnEntries replaces the entries of the given targets in the list by this instance's own
+// ones, and deletes those that it doesn't know. It reports whether none was deleted.
+func preferOwnEntries(list, own map[string]Target, ids []string) bool {
 	whole := true
 	for _, id := range ids {
 		t, known := own[id]
@@ -203,97 +210,98 @@
 	return whole
 }
 
-// replaceTargets publishes believed targets if they have changed. The caller holds the lock.
-func (b *Board) replaceTargets(believed map[string]Target) (gone, added []string) {
+// publishTargets publishes the targets if they have changed. The caller holds the lock.
+func (b *Board) publishTargets(targets map[string]Target) (gone, added []string) {
 	old := b.current.Load()
 	for id := range old.Targets {
-		if _, kept := believed[id]; !kept {
+		if _, known := targets[id]; !known {
 			gone = append(gone, id)
 		}
 	}
-	for id := range believed {
+	for id := range targets {
 		if _, known := old.Targets[id]; !known {
 			added = append(added, id)
 		}
 	}
-	if sameTargets(old.Targets, believed) {
+	if sameTargets(old.Targets, targets) {
 		return nil, nil
 	}
-	b.replace(func(s *Snapshot) {
-		s.TargetsDigest = digest(believed)
-		s.Targets = believed
-		s.ByService = byService(believed)
+	b.publish(func(s *Snapshot) {
+		s.TargetsDigest = targetsDigest(targets)
+		s.Targets = targets
+		s.ByService = byService(targets)
 	})
 	return gone, added
 }
 
-// readAt notes that the registry was read as of the given time.
-func (b *Board) readAt(at clock.Instant) {
-	if b.targetsAt == clock.Never || at.Sub(b.targetsAt) > gap {
-		b.steadySince = at
+// noteRead records that the registry was read at the given time. The caller holds the lock.
+func (b *Board) noteRead(at clock.Instant) {
+	if b.targetsAt == clock.Never || at.Sub(b.targetsAt) > maxReadGap {
+		b.uninterruptedSince = at
 	}
 	b.targetsAt = b.targetsAt.Later(at)
 }
 
-// ConfirmTargets notes that the targets believed were current at the given time.
+// ConfirmTargets records that the known targets were current at the given time.
 func (b *Board) ConfirmTargets(at clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.readAt(at)
+	b.noteRead(at)
 }
 
-// TargetsReadVersion returns the version of the store as of which the registry was last read.
+// TargetsReadVersion returns the store version at which the registry was last read.
 func (b *Board) TargetsReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.targetsRead
 }
 
-// Retained are targets that are believed though the registry does not list them: their entries may have lapsed.
+// Retained lists targets that are still known though the registry doesn't list them: their entries
+// may only have lapsed.
 type Retained struct {
 	IDs []string
-	// AsOf is the version of the store as of which they were listed for the last time, as far as whoever
-	// keeps them knows.
+	// AsOf is the version of the store at which they were last listed, as far as the instance that
+	// retains them knows.
 	AsOf uint64
 }
 
-// believe adds to a reading what it may lack only because the store was away or came back from a copy. Before
-// is the version of the reading before it.
-func (b *Board) believe(before uint64, old, list map[string]Target) map[string]Target {
-	believed := b.sinceWhen(old, list)
-	if b.targetsAt.Sub(b.returnedAt) < RestoreGrace {
-		keepDraining(believed, old)
+// retainMissing adds to a reading the targets that it may lack only because the store was
+// unavailable or was restored from a copy. The parameter before is the version of the previous
+// reading.
+func (b *Board) retainMissing(before uint64, old, list map[string]Target) map[string]Target {
+	targets := b.carryOverTimes(old, list)
+	if b.targetsAt.Sub(b.restoredAt) < RestoreGrace {
+		keepDraining(targets, old)
 	}
-	settled := b.targetsAt.Sub(b.steadySince) >= goneAfter
-	kept := Retained{AsOf: before}
-	if len(b.kept.IDs) > 0 {
-		kept.AsOf = b.kept.AsOf
+	settled := b.targetsAt.Sub(b.uninterruptedSince) >= missingGrace
+	retained := Retained{AsOf: before}
+	if len(b.retained.IDs) > 0 {
+		retained.AsOf = b.retained.AsOf
 	}
 	for id, t := range old {
-		if _, listed := list[id]; listed || settled || replaced(old, list, t) {
+		if _, listed := list[id]; listed || settled || superseded(old, list, t) {
 			continue
 		}
-		believed[id] = t
-		kept.IDs = append(kept.IDs, id)
+		targets[id] = t
+		retained.IDs = append(retained.IDs, id)
 	}
-	b.kept = kept
-	return believed
+	b.retained = retained
+	return targets
 }
 
-// Retained returns the targets that are believed though the last reading of the registry did not list them,
-// since they may have lapsed only.
+// Retained returns the known targets that the last reading of the registry did not list.
 func (b *Board) Retained() Retained {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.kept
+	return b.retained
 }
 
-// HasRetained reports whether there are any.
+// HasRetained reports whether any targets are retained.
 func (b *Board) HasRetained() bool { return len(b.Retained().IDs) > 0 }
 
-// sinceWhen returns a copy of a list with the times since when targets have been draining, and
-// until when they are cold.
-func (b *Board) sinceWhen(old, list map[string]Target) map[string]Target {
+// carryOverTimes returns a copy of the list with DrainingAt and ColdUntil set: taken from the old
+// entry if the target was draining, or in the same cold spell, before; counted from now otherwise.
+func (b *Board) carryOverTimes(old, list map[string]Target) map[string]Target {
 	out := maps.Clone(list)
 	now := b.clock.Now()
 	for id, t := range out {
@@ -315,10 +323,10 @@
 	return out
 }
 
-// replaced reports whether another life of the target is listed, or another target has come to
-// its address: either tells that this one has ended. One that was known beside it may be the
-// former one of the two.
-func replaced(old, list map[string]Target, t Target) bool {
+// superseded reports whether the target has ended because another process has taken its name or its
+// address. A target at the same address that was known before doesn't count: it may be the older of
+// the two.
+func superseded(old, list map[string]Target, t Target) bool {
 	for id, other := range list {
 		if TargetName(id) == TargetName(t.ID) {
 			return true
@@ -332,8 +340,8 @@
 
 func sameTargets(a, b map[string]Target) bool { return maps.EqualFunc(a, b, Target.EqualForRouting) }
 
-// digest combines what Target.Same compares of each target.
-func digest(targets map[string]Target) uint64 {
+// targetsDigest hashes the fields that Target.EqualForRouting compares.
+func targetsDigest(targets map[string]Target) uint64 {
 	sum := uint64(0)
 	for _, t := range targets {
 		sum ^= xxhash.Sum64String(fmt.Sprintf("%s|%s|%s|%s|%d|%t|%d", t.ID, t.Service, t.Address, t.DataCentre, t.Slots, t.Draining, t.ColdSpell))
@@ -352,35 +360,38 @@
 	return out
 }
 
-// SetMap adopts a map of a service's keys if it is newer.
+// SetMap adopts a service's key map if it is newer than the known one. It reports whether it was
+// adopted.
 func (b *Board) SetMap(service string, m *keyrange.Map) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if old := b.current.Load().Maps[service]; old != nil && old.Version >= m.Version {
 		return false
 	}
-	b.replace(func(s *Snapshot) {
+	b.publish(func(s *Snapshot) {
 		s.Maps = maps.Clone(s.Maps)
 		s.Maps[service] = m
 	})
 	return true
 }
 
-// SetInstances adopts a list of instances if it is newer.
+// SetInstances adopts a list of instances if it is newer than the known one. It reports whether it
+// was adopted.
 func (b *Board) SetInstances(version InstancesVersion, list []Instance) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.current.Load().InstancesVersion.Compare(version) >= 0 {
 		return false
 	}
-	b.replace(func(s *Snapshot) {
+	b.publish(func(s *Snapshot) {
 		s.InstancesVersion = version
 		s.Instances = list
 	})
 	return true
 }
 
-// CurrentAsOf returns when the older one of configuration and registry was current.
+// CurrentAsOf returns the latest time at which both the known targets and the known configuration
+// were current.
 func (b *Board) CurrentAsOf() clock.Instant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/view/cold.go
+++ b/coordination/view/cold.go
@@ -6,23 +6,24 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// ColdUntil returns until when a target is taken for cold. Those of a data centre that was taken back
-// may have stood idle; their entries tell so a heartbeat later.
+// ColdUntil returns the time until which a target counts as cold. The targets of a data centre
+// whose evacuation has ended may have been idle, so they count as cold for the service's cold start
+// time; their own entries in the registry say so only a heartbeat later.
 func (s *Snapshot) ColdUntil(t Target) clock.Instant {
 	until := t.ColdUntil
-	over, returned := s.Evacuations.Over[t.DataCentre]
-	if !returned || s.Rules == nil {
+	endedAt, ended := s.Evacuations.EndedAt[t.DataCentre]
+	if !ended || s.Rules == nil {
 		return until
 	}
 	service := s.Rules.Service(t.Service)
 	if service == nil || service.ColdStart == 0 {
 		return until
 	}
-	return until.Later(over.Add(time.Duration(service.ColdStart)))
+	return until.Later(endedAt.Add(time.Duration(service.ColdStart)))
 }
 
-// ColdRate returns how many requests a second a target of a service bears while it is cold; 0: no bound
-// is known.
+// ColdRate returns how many requests a second a cold target of the service takes; 0 if no limit is
+// known.
 func (s *Snapshot) ColdRate(service string) float64 {
 	if s.Rules == nil {
 		return 0
--- a/coordination/view/doc.go
+++ b/coordination/view/doc.go
@@ -1,10 +1,10 @@
-// Package view holds what an instance believes about the deployment: the configuration,
-// the targets, the maps of keys and the other instances, each with its version and with
-// the time as of which it is known to be current.
+// Package view holds what an instance knows about the deployment: the configuration, the targets,
+// the key maps, the evacuations and the other instances. Each part has a version. For the
+// configuration and the targets it also holds the time at which they were last known to be current.
 //
-// A Board is written by whoever learns something, from the store or from the leading
-// instance, in any order: an older version never replaces a newer one. Readers take a
-// Snapshot without a lock. A Snapshot and all it refers to are immutable.
+// Data from the store and from the leader is written to a Board in any order: an older version
+// never replaces a newer one. Readers load a Snapshot without a lock. A Snapshot and everything
+// that it refers to are immutable.
 //
-// Lock order: the Board's lock is a leaf; no other lock is taken while it is held.
+// Lock order: no other lock is taken while the Board's lock is held.
 package view
--- a/coordination/view/evacuation.go
+++ b/coordination/view/evacuation.go
@@ -8,36 +8,37 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// Evacuations are the data centres to whose targets operators want nothing sent.
+// Evacuations are the data centres that operators have evacuated: their targets get no requests.
 type Evacuations struct {
-	// Version is the version of the store as of which they were last found to have changed.
+	// Version is the version of the store at which they were last found to have changed.
 	Version uint64
-	// Since says when this instance learned of each one that is in force.
+	// Since is when this instance learned of each evacuation in force, by data centre.
 	Since map[string]clock.Instant
-	// Over says when this instance learned that one was taken back.
-	Over map[string]clock.Instant
+	// EndedAt is when this instance learned of the end of each former evacuation, by data centre.
+	EndedAt map[string]clock.Instant
 }
 
-// List returns the data centres that are evacuated, sorted.
+// List returns the evacuated data centres, sorted.
 func (e Evacuations) List() []string { return slices.Sorted(maps.Keys(e.Since)) }
 
-// Contains reports whether a data centre is evacuated.
+// Contains reports whether the data centre is evacuated.
 func (e Evacuations) Contains(dataCentre string) bool {
 	_, evacuated := e.Since[dataCentre]
 	return evacuated
 }
 
-// ClosedFor reports whether a data centre has been evacuated for at least the given time.
-func (e Evacuations) ClosedFor(dataCentre string, now clock.Instant, least time.Duration) bool {
+// EvacuatedFor reports whether the data centre has been evacuated for at least the given time.
+func (e Evacuations) EvacuatedFor(dataCentre string, now clock.Instant, least time.Duration) bool {
 	since, evacuated := e.Since[dataCentre]
 	return evacuated && now.Sub(since) >= least
 }
 
-// changed returns the evacuations after a reading that found the listed ones in force.
-func (e Evacuations) changed(version uint64, list []string, now clock.Instant) Evacuations {
-	next := Evacuations{Version: version, Since: map[string]clock.Instant{}, Over: maps.Clone(e.Over)}
-	if next.Over == nil {
-		next.Over = map[string]clock.Instant{}
+// updated returns the evacuations after a reading at the given version that found those of the
+// listed data centres in force.
+func (e Evacuations) updated(version uint64, list []string, now clock.Instant) Evacuations {
+	next := Evacuations{Version: version, Since: map[string]clock.Instant{}, EndedAt: maps.Clone(e.EndedAt)}
+	if next.EndedAt == nil {
+		next.EndedAt = map[string]clock.Instant{}
 	}
 	for _, dataCentre := range list {
 		since, known := e.Since[dataCentre]
@@ -45,18 +46,18 @@
 			since = now
 		}
 		next.Since[dataCentre] = since
-		delete(next.Over, dataCentre)
+		delete(next.EndedAt, dataCentre)
 	}
 	for dataCentre := range e.Since {
 		if !next.Contains(dataCentre) {
-			next.Over[dataCentre] = now
+			next.EndedAt[dataCentre] = now
 		}
 	}
 	return next
 }
 
-// SetEvacuations adopts the data centres that are evacuated as of a version of the store, unless a
-// newer reading is known. It reports whether they differ from those known before.
+// SetEvacuations adopts the list of the data centres that are evacuated at a version of the store,
+// unless this version or a newer one is known. It reports whether the evacuations have changed.
 func (b *Board) SetEvacuations(version uint64, list []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,23 +69,25 @@
 	if slices.Equal(sorted, old.List()) {
 		return false
 	}
-	b.replace(func(s *Snapshot) { s.Evacuations = old.changed(version, sorted, b.clock.Now()) })
+	b.publish(func(s *Snapshot) { s.Evacuations = old.updated(version, sorted, b.clock.Now()) })
 	return true
 }
 
-// evacuateAfter is how long after this instance learned of an evacuation the owners of keys still get
-// requests: their keys are given to others meanwhile. Operators count from when the store has taken the
-// evacuation; the news takes up to 1.5 s while the leading instance changes.
-const evacuateAfter = 2 * time.Second
+// evacuationGrace is how long the owners of keys in an evacuated data centre still get requests,
+// counted from when this instance learned of the evacuation. Their keys are moved in this time.
+// Operators count from when the store accepted the evacuation; the update takes up to 1.5 s while
+// the leader changes.
+const evacuationGrace = 2 * time.Second
 
-// Excluded reports whether nothing may be sent to a target any more: it has been draining for so long that
-// it may have ended, or its data centre is evacuated.
+// Excluded reports whether no request may be sent to the target any more: it has been draining for
+// so long that it may have ended, or its data centre has been evacuated for longer than
+// evacuationGrace.
 func (s *Snapshot) Excluded(t Target, now clock.Instant) bool {
-	return t.DrainExpired(now) || s.Evacuations.ClosedFor(t.DataCentre, now, evacuateAfter)
+	return t.DrainExpired(now) || s.Evacuations.EvacuatedFor(t.DataCentre, now, evacuationGrace)
 }
 
-// AcceptsNewWork reports whether a target is to get new work: it is not about to leave, and its data centre is
-// not evacuated.
+// AcceptsNewWork reports whether the target may get new work: it is not draining, and its data
+// centre is not evacuated.
 func (s *Snapshot) AcceptsNewWork(t Target) bool {
 	return !t.Draining && !s.Evacuations.Contains(t.DataCentre)
 }
--- a/coordination/view/instance.go
+++ b/coordination/view/instance.go
@@ -13,13 +13,14 @@
 	// Address is where the other instances reach it.
 	Address    string
 	DataCentre string
-	// Weight is its share of work for the others: the processor it has.
+	// Weight is its share of the work that instances do for each other, in proportion to its
+	// processor capacity.
 	Weight float64
 }
 
-// Score ranks the instance for a duty by rendezvous hashing, such that each wins in
-// proportion to its weight. Everyone who knows the same instances finds the same winner,
-// and a list that differs in one moves only the duties of that one.
+// Score ranks the instance for a duty by weighted rendezvous hashing: each instance has the highest
+// score for a share of the duties in proportion to its weight. All who know the same instances find
+// the same one, and adding or removing an instance moves only the duties of that instance.
 func (i Instance) Score(duty string) float64 {
 	const scale = 1 << 53
 	u := (float64(xxhash.Sum64String(i.ID+"|"+duty)>>11) + 0.5) / scale
--- a/coordination/view/target.go
+++ b/coordination/view/target.go
@@ -10,35 +10,34 @@
 
 // Target is a server of a service as the registry lists it.
 type Target struct {
-	// ID is unique to one start of the process, see LifeID: a process that is started again
-	// owns nothing and must not be taken for the earlier one. Whatever is kept for a target is
-	// kept under its ID.
+	// ID is unique to one start of the process, see TargetID: a restarted process owns no keys and
+	// must not be taken for the former one. All data about a target is stored under its ID.
 	ID string
-	// Born is when the process was started, in Unix milliseconds by its own clock; 0: it does
-	// not say. It tells lives apart and nothing else: clocks are set back.
+	// Born is when the process was started, in Unix milliseconds by its own clock; 0 if it does not
+	// say. It only distinguishes processes and gives no order: clocks may be set back.
 	Born       int64
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is how many requests the target runs at a time.
+	// Slots is the number of requests that the target runs at a time.
 	Slots int
-	// Draining says that the target is about to leave and wants no new work.
+	// Draining is set when the target is about to leave and takes no new work.
 	Draining bool
 	// DrainingAt is when this instance learned that the target is draining.
 	DrainingAt clock.Instant
-	// Cold is how much longer the target is cold, as of when it was listed or told: it is slow, and
-	// breaks down at a rate of requests that it bears otherwise.
+	// Cold is for how much longer the target is cold, counted from when it was listed or sent. A
+	// cold target is slow and breaks down under a request rate that it can take when it is warm.
 	Cold time.Duration
-	// ColdSpell tells one cold time of the target from the next: the version of the entry that first
-	// told of it; 0: it is not cold.
+	// ColdSpell identifies one cold time of the target: it is the version of the entry that first
+	// reported it; 0 if the target is not cold.
 	ColdSpell uint64
-	// ColdUntil is until when this instance takes the target for cold.
+	// ColdUntil is the end of the cold time by this instance's clock.
 	ColdUntil clock.Instant
 }
 
-// EqualForRouting reports whether two entries are the same in what decides where requests go. The rest of
-// a cold time changes with every heartbeat, and when a target was found to be draining differs
-// between instances.
+// EqualForRouting reports whether two entries are equal in all fields that decide where requests
+// go. It ignores the rest of the cold time, which changes with every heartbeat, and the time when
+// the target was found to be draining, which differs between instances.
 func (t Target) EqualForRouting(u Target) bool {
 	t.Cold, u.Cold = 0, 0
 	t.ColdUntil, u.ColdUntil = 0, 0
@@ -46,38 +45,40 @@
 	return t == u
 }
 
-// ForSync returns the target as it is told to another instance, whose clock reads otherwise.
+// ForSync returns the target as it is sent to another instance: with the rest of its cold time, and
+// without times by this instance's clock.
 func (t Target) ForSync(now clock.Instant) Target {
 	t.Cold = max(0, t.ColdUntil.Sub(now))
 	t.ColdUntil, t.DrainingAt = 0, 0
 	return t
 }
 
-// DrainGrace is how long after it was known to be draining a target is still sent to. It must
-// get nothing 2 s after it said so; the news takes up to 1.5 s while the leading instance
-// changes.
+// DrainGrace is how long a draining target still gets requests, counted from when this instance
+// learned that it is draining. It must get none 2 s after it said so; the update takes up to 1.5 s
+// while the leader changes.
 const DrainGrace = 400 * time.Millisecond
 
-// DrainExpired reports whether a target has been draining for so long that it may have ended.
+// DrainExpired reports whether the target has been draining for so long that it may have ended.
 func (t Target) DrainExpired(now clock.Instant) bool {
 	return t.Draining && now.Sub(t.DrainingAt) > DrainGrace
 }
 
-// lifeMark stands between a target's name and its start in its ID.
-const lifeMark = "@"
+// idSeparator separates a target's name from its start time in its ID.
+const idSeparator = "@"
 
-// TargetID returns the ID of one life of a target: the name under which the registry lists it,
-// and when it was started.
+// TargetID returns the ID of one process of a target, made of the name under which the registry
+// lists the target and the process's start time.
 func TargetID(name string, born int64) string {
-	if born == 0 && !strings.Contains(name, lifeMark) {
+	if born == 0 && !strings.Contains(name, idSeparator) {
 		return name
 	}
-	return name + lifeMark + strconv.FormatInt(born, 10)
+	return name + idSeparator + strconv.FormatInt(born, 10)
 }
 
-// TargetName returns the name that a target goes by itself, which all its lives share.
+// TargetName returns the name of the target with the given ID. A target keeps its name when it is
+// restarted.
 func TargetName(id string) string {
-	if i := strings.LastIndex(id, lifeMark); i >= 0 {
+	if i := strings.LastIndex(id, idSeparator); i >= 0 {
 		return id[:i]
 	}
 	return id
