--- a/coordination/assign/propose.go
+++ b/coordination/assign/propose.go
@@ -39,7 +39,7 @@
 	m.spread(e, now, lost, true)
 	m.balance(e, now, moving)
 	if e.Changed() || len(m.current.Ranges) > joinAbove*len(m.holders) {
-		e.Join(func(owner string) bool { return m.holder(owner).takes() })
+		e.MergeAdjoining(func(owner string) bool { return m.holder(owner).takes() })
 	}
 	if !e.Changed() {
 		return nil
@@ -59,7 +59,7 @@
 		h.unverified = false
 		h.anewAt = now
 		if h.takes() || h.listed && !h.ended {
-			e.Refence(id)
+			e.RaiseFences(id)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	if r.Lost || r.Owner == "" || m.move(now, r).released || !m.holder(r.Owner).lost(now) {
 		return
 	}
-	e.Lose(r.From, r.To)
+	e.MarkLost(r.From, r.To)
 }
 
 // offerAnew offers a range to the same next owner under a higher fence.
@@ -171,7 +171,7 @@
 	if len(ranges) == 0 {
 		return
 	}
-	for _, mv := range keyrange.Spread(m.current, m.load, ranges, m.capacities(now, "")) {
+	for _, mv := range keyrange.Reassign(m.current, m.load, ranges, m.capacities(now, "")) {
 		e.Move(mv.From, mv.To, mv.Next, lost)
 	}
 }
--- a/coordination/keyrange/keyrange_test.go
+++ b/coordination/keyrange/keyrange_test.go
@@ -199,7 +199,7 @@
 
 var _ = Describe("spreading", func() {
 	It("covers exactly the given keys", func() {
-		moves := Spread(even(5), &Load{}, []Range{{From: 100, To: 20000}}, capacities(5)[1:])
+		moves := Reassign(even(5), &Load{}, []Range{{From: 100, To: 20000}}, capacities(5)[1:])
 		slices.SortFunc(moves, func(a, b Move) int { return cmp.Compare(a.From, b.From) })
 		next := 100
 		for _, mv := range moves {
@@ -220,7 +220,7 @@
 			load[key] = 700.0 / (MaxKey + 1)
 		}
 		gone := m.Ranges[:100]
-		moves := Spread(m, load, gone, capacities(400)[100:])
+		moves := Reassign(m, load, gone, capacities(400)[100:])
 		Expect(len(moves)).To(BeNumerically("<", 2*len(gone)))
 		heirs := map[string]int{}
 		for _, mv := range moves {
@@ -235,7 +235,7 @@
 		for key := range load {
 			load[key] = 12.0 / (MaxKey + 1)
 		}
-		moves := Spread(m, load, m.Ranges[:1], capacities(4)[1:])
+		moves := Reassign(m, load, m.Ranges[:1], capacities(4)[1:])
 		Expect(worst(after(m, moves), load, capacities(4)[1:])).To(BeNumerically("<", 0.9), "it is 1 if one gets all")
 	})
 })
@@ -248,14 +248,14 @@
 
 	It("makes one range of adjoining ones, under a higher fence", func() {
 		e := owned(Range{0, 9, "a", 1, "", 0, false}, Range{10, 19, "a", 2, "", 0, false}, Range{20, 29, "a", 2, "", 0, false}, Range{30, MaxKey, "b", 3, "", 0, false})
-		e.Join(all)
+		e.MergeAdjoining(all)
 		Expect(e.Changed()).To(BeTrue())
 		Expect(e.Map().Ranges).To(Equal([]Range{{0, 29, "a", 9, "", 0, false}, {30, MaxKey, "b", 3, "", 0, false}}))
 	})
 
 	It("leaves ranges that change hands, and owners that cannot be granted", func() {
 		e := owned(Range{0, 9, "a", 1, "", 0, false}, Range{10, 19, "a", 2, "b", 5, false}, Range{20, 29, "c", 2, "", 0, false}, Range{30, MaxKey, "c", 3, "", 0, false})
-		e.Join(func(owner string) bool { return owner != "c" })
+		e.MergeAdjoining(func(owner string) bool { return owner != "c" })
 		Expect(e.Changed()).To(BeFalse())
 	})
 })
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -84,9 +84,9 @@
 	})
 }
 
-// Lose notes that the owner of the keys from..to, which are on their way to another, cannot be asked to give
+// MarkLost notes that the owner of the keys from..to, which are on their way to another, cannot be asked to give
 // them up after all.
-func (e *Editor) Lose(from, to uint16) {
+func (e *Editor) MarkLost(from, to uint16) {
 	e.update(from, to, func(r *Range) { r.Lost = true })
 }
 
@@ -97,10 +97,10 @@
 	})
 }
 
-// Join joins adjoining ranges that are served by one owner for which the function holds.
+// MergeAdjoining joins adjoining ranges that are served by one owner for which the function holds.
 // The joined range gets the fence of this change: the owner is granted it as a whole, which
 // takes the place of what it was granted of the parts.
-func (e *Editor) Join(may func(owner string) bool) {
+func (e *Editor) MergeAdjoining(may func(owner string) bool) {
 	for i := 1; i < len(e.ranges); i++ {
 		a, b := &e.ranges[i-1], &e.ranges[i]
 		if !a.Served() || !b.Served() || a.Owner != b.Owner || a.Fence == b.Fence || !may(a.Owner) {
@@ -133,8 +133,8 @@
 	return next
 }
 
-// Refence puts all ranges that an owner serves under the fence of this change.
-func (e *Editor) Refence(owner string) {
+// RaiseFences puts all ranges that an owner serves under the fence of this change.
+func (e *Editor) RaiseFences(owner string) {
 	for i := range e.ranges {
 		if r := &e.ranges[i]; r.Served() && r.Owner == owner {
 			r.Fence = e.version
--- a/coordination/keyrange/spread.go
+++ b/coordination/keyrange/spread.go
@@ -11,9 +11,9 @@
 // a rolling replacement would end with a map too large for its row.
 const leastPiece = 0.4
 
-// Spread gives the keys of pieces, whose owners are gone or leave, to targets: the heaviest
+// Reassign gives the keys of pieces, whose owners are gone or leave, to targets: the heaviest
 // first, each to the target that is least full. A piece is cut only if it is too much for one.
-func Spread(m *Map, load *Load, pieces []Range, targets []Capacity) []Move {
+func Reassign(m *Map, load *Load, pieces []Range, targets []Capacity) []Move {
 	if len(targets) == 0 {
 		return nil
 	}
