--- a/coordination/keyrange/encode.go
+++ b/coordination/keyrange/encode.go
@@ -7,39 +7,38 @@
 	"fmt"
 )
 
-// encoded is the stored form: targets are named once, ranges refer to them by place. A range
-// takes about 10 bytes, where numbers written as text took 25: a map is one row, of which the
-// store takes 64 KiB.
+// encoded is the stored form of a map: each target ID is stored once, and ranges refer to the IDs
+// by index. The ranges are in a binary form, which takes about 10 bytes for each; numbers as JSON
+// text took 25. A map is stored in one row, and the store takes at most 64 KiB for a row.
 type encoded struct {
 	Version uint64   `json:"version"`
 	Targets []string `json:"targets"`
-	// Ranges holds for each range its number of keys, then the places of owner and next
-	// owner, then the fences, where there are such owners, counted back from the version,
-	// all as variable-length integers. The place of the next owner is doubled, and one is
-	// added if the owner is lost.
+	// Ranges holds these variable-length integers for each range: the number of keys, the index of
+	// the owner, twice the index of the next owner (plus one if the owner is lost), and for the
+	// owner and the next owner, where there is one, the version of the map minus the fence.
 	Ranges []byte `json:"ranges"`
 }
 
 // Encode returns the stored form of a map.
 func (m *Map) Encode() ([]byte, error) {
 	e := encoded{Version: m.Version, Targets: []string{""}}
-	places := map[string]uint64{"": 0}
-	place := func(id string) uint64 {
-		p, ok := places[id]
+	indexes := map[string]uint64{"": 0}
+	indexOf := func(id string) uint64 {
+		i, ok := indexes[id]
 		if !ok {
-			p = uint64(len(e.Targets))
-			places[id] = p
+			i = uint64(len(e.Targets))
+			indexes[id] = i
 			e.Targets = append(e.Targets, id)
 		}
-		return p
+		return i
 	}
 	for _, r := range m.Ranges {
-		next := 2 * place(r.Next)
+		next := 2 * indexOf(r.Next)
 		if r.Lost {
 			next++
 		}
 		e.Ranges = binary.AppendUvarint(e.Ranges, uint64(r.Keys()))
-		e.Ranges = binary.AppendUvarint(e.Ranges, place(r.Owner))
+		e.Ranges = binary.AppendUvarint(e.Ranges, indexOf(r.Owner))
 		e.Ranges = binary.AppendUvarint(e.Ranges, next)
 		if r.Owner != "" {
 			e.Ranges = binary.AppendUvarint(e.Ranges, m.Version-r.Fence)
@@ -50,15 +49,15 @@
 	}
 	text, err := json.Marshal(e)
 	if err != nil {
-		return nil, fmt.Errorf("keyrange: encode: %w", err)
+		return nil, fmt.Errorf("keyrange: encode map: %w", err)
 	}
 	return text, nil
 }
 
-// ErrInvalid says that a stored map cannot be one that Encode made.
+// ErrInvalid is returned for data that is not the stored form of a valid map.
 var ErrInvalid = errors.New("keyrange: invalid map")
 
-// Decode reads the stored form.
+// Decode reads the stored form of a map. It returns ErrInvalid if the data is not valid.
 func Decode(text []byte) (*Map, error) {
 	var e encoded
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -68,7 +67,7 @@
 	m := &Map{Version: e.Version}
 	from := uint64(0)
 	for len(d.rest) > 0 {
-		r, err := d.next(from)
+		r, err := d.readRange(from)
 		if err != nil {
 			return nil, err
 		}
@@ -76,44 +75,47 @@
 		from = uint64(r.To) + 1
 	}
 	if from != MaxKey+1 {
-		return nil, fmt.Errorf("%w: it ends at %d", ErrInvalid, from)
+		return nil, fmt.Errorf("%w: ranges end before key %d instead of at the last key", ErrInvalid, from)
 	}
 	return m, nil
 }
 
+// decoder reads the ranges of the stored form one by one.
 type decoder struct {
 	encoded
 	rest []byte
-	bad  bool
+	// invalid is set when a number could not be read.
+	invalid bool
 }
 
-// next reads the range that begins at a key.
-func (d *decoder) next(from uint64) (Range, error) {
-	keys, owner, next := d.number(), d.number(), d.number()
-	known := uint64(len(d.Targets))
-	if d.bad || keys == 0 || keys > MaxKey+1-from || owner >= known || next/2 >= known {
-		return Range{}, fmt.Errorf("%w: at key %d", ErrInvalid, from)
+// readRange reads the range that begins at the given key.
+func (d *decoder) readRange(from uint64) (Range, error) {
+	keys, owner, next := d.uvarint(), d.uvarint(), d.uvarint()
+	targets := uint64(len(d.Targets))
+	if d.invalid || keys == 0 || keys > MaxKey+1-from || owner >= targets || next/2 >= targets {
+		return Range{}, fmt.Errorf("%w: range at key %d: bad length or target index", ErrInvalid, from)
 	}
 	r := Range{
 		From: uint16(from), To: uint16(from + keys - 1),
 		Owner: d.Targets[owner], Next: d.Targets[next/2], Lost: next%2 == 1,
 	}
 	if r.Owner != "" {
-		r.Fence = d.Version - d.number()
+		r.Fence = d.Version - d.uvarint()
 	}
 	if r.Next != "" {
-		r.NextFence = d.Version - d.number()
+		r.NextFence = d.Version - d.uvarint()
 	}
-	if d.bad || r.Fence > d.Version || r.NextFence > d.Version {
-		return Range{}, fmt.Errorf("%w: at key %d", ErrInvalid, from)
+	if d.invalid || r.Fence > d.Version || r.NextFence > d.Version {
+		return Range{}, fmt.Errorf("%w: range at key %d: bad fence", ErrInvalid, from)
 	}
 	return r, nil
 }
 
-func (d *decoder) number() uint64 {
+// uvarint reads one number. If there is none, it returns 0 and sets invalid.
+func (d *decoder) uvarint() uint64 {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 {
-		d.bad = true
+		d.invalid = true
 		return 0
 	}
 	d.rest = d.rest[size:]
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -8,29 +8,29 @@
 // MaxKey is the largest key number.
 const MaxKey = 1<<16 - 1
 
-// Range is a piece of the key space.
+// Range is a contiguous part of the key space with its owner.
 type Range struct {
 	// From and To are the first and the last key.
 	From, To uint16
-	// Owner holds the keys under Fence. Empty: nobody does.
+	// Owner is the ID of the target that owns the keys, under Fence. Empty if no target owns them.
 	Owner string
 	Fence uint64
-	// Next gets the keys under NextFence when Owner has surely given them up. Empty: the
-	// range stays where it is.
+	// Next is the ID of the target that gets the keys, under NextFence, once Owner is certain to
+	// have given them up. Empty if the range is not moving.
 	Next      string
 	NextFence uint64
-	// Lost says that Owner cannot be asked to give the keys up; its hold must run out.
+	// Lost is set when Owner cannot be asked to give the keys up, so that its hold must run out.
 	Lost bool
 }
 
-// Moving reports whether the range is on its way to another owner.
+// Moving reports whether the range is moving to another owner.
 func (r Range) Moving() bool { return r.Next != "" }
 
 // Served reports whether requests for the range can be sent to its owner.
 func (r Range) Served() bool { return r.Owner != "" && r.Next == "" }
 
-// Heir returns the target that has the range or is about to get it.
-func (r Range) Heir() string {
+// EventualOwner returns the target that gets the range, or its owner if the range is not moving.
+func (r Range) EventualOwner() string {
 	if r.Next != "" {
 		return r.Next
 	}
@@ -40,23 +40,23 @@
 // Keys returns the number of keys.
 func (r Range) Keys() int { return int(r.To) - int(r.From) + 1 }
 
-// Map assigns every key. It is immutable.
+// Map assigns every key to a range. It is immutable.
 type Map struct {
-	// Version grows with every change. A fence introduced by a change is its version.
+	// Version grows with every change. A fence that a change introduces is the new version.
 	Version uint64
 	Ranges  []Range
 }
 
-// Empty returns a map in which nobody owns anything.
+// Empty returns a map of version 0 in which no key has an owner.
 func Empty() *Map { return &Map{Ranges: []Range{{From: 0, To: MaxKey}}} }
 
-// Find returns the range of a key.
+// Find returns the range that contains the key.
 func (m *Map) Find(key uint16) Range {
 	i := sort.Search(len(m.Ranges), func(i int) bool { return m.Ranges[i].To >= key })
 	return m.Ranges[i]
 }
 
-// Editor collects changes of a map under one new version.
+// Editor collects changes of a map that get one new version.
 type Editor struct {
 	version uint64
 	ranges  []Range
@@ -68,14 +68,15 @@
 	return &Editor{version: m.Version + 1, ranges: slices.Clone(m.Ranges)}
 }
 
-// Version is the version that the change will have, and the fence of moves it begins.
+// Version returns the version of the changed map, which is also the fence of the moves that it
+// begins.
 func (e *Editor) Version() uint64 { return e.version }
 
-// Changed reports whether there is anything to commit.
+// Changed reports whether the editor has made any change.
 func (e *Editor) Changed() bool { return e.changed }
 
-// Move begins to move the keys from..to to the target next. Lost says that the owner
-// cannot be asked.
+// Move begins to move the keys from..to to the target next. Set lost if their owner cannot be asked
+// to give them up.
 func (e *Editor) Move(from, to uint16, next string, lost bool) {
 	e.update(from, to, func(r *Range) {
 		r.Next = next
@@ -84,22 +85,21 @@
 	})
 }
 
-// MarkLost notes that the owner of the keys from..to, which are on their way to another, cannot be asked to give
-// them up after all.
+// MarkLost records that the owner of the moving keys from..to cannot be asked to give them up.
 func (e *Editor) MarkLost(from, to uint16) {
 	e.update(from, to, func(r *Range) { r.Lost = true })
 }
 
-// Finish makes the next owner of the keys from..to their owner.
+// Finish ends the move of the keys from..to: their next owner becomes their owner.
 func (e *Editor) Finish(from, to uint16) {
 	e.update(from, to, func(r *Range) {
 		*r = Range{From: r.From, To: r.To, Owner: r.Next, Fence: r.NextFence}
 	})
 }
 
-// MergeAdjoining joins adjoining ranges that are served by one owner for which the function holds.
-// The joined range gets the fence of this change: the owner is granted it as a whole, which
-// takes the place of what it was granted of the parts.
+// MergeAdjoining merges adjoining ranges that are served by the same owner, for the owners for
+// which may returns true. The merged range gets the fence of this change: the owner gets a grant
+// for the whole range, which replaces the grants for the parts.
 func (e *Editor) MergeAdjoining(may func(owner string) bool) {
 	for i := 1; i < len(e.ranges); i++ {
 		a, b := &e.ranges[i-1], &e.ranges[i]
@@ -114,11 +114,11 @@
 	}
 }
 
-// WithRaisedFences returns the map with every fence raised. Whoever begins to lead puts it into force
-// along with its lease: it cannot know which targets have been started again under their names
-// since they were granted their keys, and no process may have keys under a fence under which
-// another one had them. Orders of the former leading instance that come late meet a higher fence.
-// The new version, and with it all fences, is above least.
+// WithRaisedFences returns the map with a new version, above least, as the fence of every owner and
+// next owner. A new leader stores it together with its lease: it cannot know which targets were
+// restarted under their names since they were granted their keys, and no process may own keys under
+// a fence under which another process owned them. Orders of the former leader that arrive late have
+// a lower fence and are refused.
 func (m *Map) WithRaisedFences(least uint64) *Map {
 	next := &Map{Version: max(m.Version, least) + 1, Ranges: slices.Clone(m.Ranges)}
 	for i := range next.Ranges {
@@ -133,7 +133,7 @@
 	return next
 }
 
-// RaiseFences puts all ranges that an owner serves under the fence of this change.
+// RaiseFences sets the fence of all ranges that the owner serves to that of this change.
 func (e *Editor) RaiseFences(owner string) {
 	for i := range e.ranges {
 		if r := &e.ranges[i]; r.Served() && r.Owner == owner {
@@ -143,7 +143,7 @@
 	}
 }
 
-// update changes the keys from..to, cutting ranges where needed.
+// update changes the keys from..to and splits ranges where needed.
 func (e *Editor) update(from, to uint16, change func(*Range)) {
 	var out []Range
 	for _, r := range e.ranges {
@@ -152,9 +152,9 @@
 			continue
 		}
 		if r.From < from {
-			before := r
-			before.To = from - 1
-			out = append(out, before)
+			left := r
+			left.To = from - 1
+			out = append(out, left)
 		}
 		middle := r
 		middle.From = max(r.From, from)
@@ -162,21 +162,21 @@
 		change(&middle)
 		out = append(out, middle)
 		if r.To > to {
-			after := r
-			after.From = to + 1
-			out = append(out, after)
+			right := r
+			right.From = to + 1
+			out = append(out, right)
 		}
 	}
 	e.ranges = out
 	e.changed = true
 }
 
-// Map returns the changed map, with adjoining equal ranges joined.
+// Map returns the changed map. Adjoining ranges that differ only in their keys are merged.
 func (e *Editor) Map() *Map {
 	m := &Map{Version: e.version}
 	for _, r := range e.ranges {
 		last := len(m.Ranges) - 1
-		if last >= 0 && joins(m.Ranges[last], r) {
+		if last >= 0 && mergeable(m.Ranges[last], r) {
 			m.Ranges[last].To = r.To
 			continue
 		}
@@ -185,6 +185,7 @@
 	return m
 }
 
-func joins(a, b Range) bool {
+// mergeable reports whether two ranges differ only in their keys.
+func mergeable(a, b Range) bool {
 	return a.Owner == b.Owner && a.Fence == b.Fence && a.Next == b.Next && a.NextFence == b.NextFence && a.Lost == b.Lost
 }
--- a/coordination/keyrange/plan.go
+++ b/coordination/keyrange/plan.go
@@ -7,77 +7,79 @@
 	"sort"
 )
 
-// Load is the work that arrives for each key, in seconds of one slot of an average target
-// per second.
+// Load is the work that arrives for each key, in seconds of a slot of an average target per second.
 type Load [MaxKey + 1]float32
 
-// Capacity is a target that may own keys, with the work it can do: its slots times its
-// speed relative to the average.
+// Capacity is a target that may own keys, with its capacity: its slots times its speed relative to
+// the average.
 type Capacity struct {
 	Target string
 	Slots  float64
 }
 
-// Policy says when ranges move for balance.
+// Policy sets when ranges are moved to balance the load.
 type Policy struct {
-	// Imbalance is the ratio of a target's utilisation to the mean from which on it gives
-	// keys away.
+	// Imbalance is the ratio of a target's utilisation to the mean from which on keys are moved
+	// away from it.
 	Imbalance float64
-	// MinGain is the least difference in utilisation between the giving and the taking
-	// target. A move stops the keys for as long as their running requests take, so small
-	// differences, which noise makes, are not worth one.
+	// MinGain is the least difference in utilisation between the source and the destination of a
+	// move. A move stops the keys for as long as their running requests take, so small differences,
+	// which come from noise, are not worth a move.
 	MinGain float64
 	// MaxMoves bounds the moves of one plan.
 	MaxMoves int
 }
 
-// Move is a planned change of owner.
+// Move is a planned move of the keys From..To to the target Next.
 type Move struct {
 	From, To uint16
 	Next     string
 }
 
-// idleWork is the load in slots that is spread over all keys beside what was measured, so
-// that keys without load are shared out as well, and a target without keys counts as empty.
-const idleWork = 0.5
+// baselineWork is a load, in slots, that is spread evenly over all keys in addition to the measured
+// one, so that keys without load are distributed too, and only a target without keys counts as
+// empty.
+const baselineWork = 0.5
 
-// account is what a target owns while a plan is made.
-type account struct {
+// targetLoad is the work and the ranges of a target while a plan is made.
+type targetLoad struct {
 	Capacity
 	work   float64
-	pieces []Range
-	// topKey is the key with the most work, top, of those that stay where they are.
-	topKey uint16
-	top    float64
-	// stuck says that nothing more can be taken from it.
-	stuck bool
+	ranges []Range
+	// hottestKey is the key with the most work, hottestWork, among the keys that are not moving.
+	hottestKey  uint16
+	hottestWork float64
+	// exhausted is set when no more ranges can be moved away from the target.
+	exhausted bool
 }
 
-func (a *account) utilisation() float64 { return a.work / a.Slots }
+// utilisation returns the work divided by the capacity.
+func (a *targetLoad) utilisation() float64 { return a.work / a.Slots }
 
-// planner looks at one map and one load.
+// planner plans moves for one map and one load.
 type planner struct {
 	policy   Policy
-	accounts map[string]*account
-	order    []*account
-	// below is the work of all keys below a key, idle work included.
-	below [MaxKey + 2]float64
+	byTarget map[string]*targetLoad
+	targets  []*targetLoad
+	// workBelow is the sum of the work of all keys below a key, baseline work included.
+	workBelow [MaxKey + 2]float64
 }
 
-// Plan returns moves that even out the load among the targets. Ranges of owners that are
-// not among them are left alone. Moves for balance are taken from the fullest target and
-// given to the emptiest, cut so that both end up equally full.
+// Plan returns moves that balance the load among the targets. Ranges of other owners are not moved.
+// A single key that is too much for its owner is moved first. Each other move takes keys from the
+// most utilised target and gives them to the least utilised one, as many as make the utilisation of
+// both equal.
 func Plan(m *Map, load *Load, targets []Capacity, policy Policy) []Move {
 	if len(targets) < 2 {
 		return nil
 	}
 	p := newPlanner(m, load, targets, policy)
 	var moves []Move
-	if move, ok := p.lone(); ok && policy.MaxMoves > 0 {
+	if move, ok := p.nextHotKeyMove(); ok && policy.MaxMoves > 0 {
 		moves = append(moves, move)
 	}
 	for len(moves) < policy.MaxMoves {
-		move, ok := p.next()
+		move, ok := p.nextMove()
 		if !ok {
 			break
 		}
@@ -86,206 +88,215 @@
 	return moves
 }
 
+// newPlanner returns a planner for the given targets. Moving ranges count for their next owner.
 func newPlanner(m *Map, load *Load, targets []Capacity, policy Policy) *planner {
-	p := &planner{policy: policy, accounts: map[string]*account{}}
+	p := &planner{policy: policy, byTarget: map[string]*targetLoad{}}
 	for _, t := range targets {
-		a := &account{Capacity: t}
-		p.accounts[t.Target] = a
-		p.order = append(p.order, a)
+		tl := &targetLoad{Capacity: t}
+		p.byTarget[t.Target] = tl
+		p.targets = append(p.targets, tl)
 	}
 	p.measure(m, load)
-	slices.SortFunc(p.order, func(a, b *account) int { return cmp.Compare(a.Target, b.Target) })
+	slices.SortFunc(p.targets, func(a, b *targetLoad) int { return cmp.Compare(a.Target, b.Target) })
 	for _, r := range m.Ranges {
-		a := p.accounts[r.Heir()]
+		a := p.byTarget[r.EventualOwner()]
 		if a == nil {
 			continue
 		}
 		a.work += p.work(r.From, r.To)
 		if !r.Moving() {
-			a.pieces = append(a.pieces, r)
+			a.ranges = append(a.ranges, r)
 		}
 	}
 	return p
 }
 
-// measure adds up the load of the keys. A key counts for no more than its owner can do: the rest
-// is refused wherever the key is, and moving anything for its sake helps nobody.
+// measure sums up the load of the keys. The work of a key counts up to the capacity of its owner:
+// the rest is refused wherever the key is, so moving other keys because of it would not help.
 func (p *planner) measure(m *Map, load *Load) {
 	for _, r := range m.Ranges {
-		most := math.Inf(1)
-		a := p.accounts[r.Heir()]
+		maxWork := math.Inf(1)
+		a := p.byTarget[r.EventualOwner()]
 		if a != nil {
-			most = a.Slots
+			maxWork = a.Slots
 		}
 		for key := int(r.From); key <= int(r.To); key++ {
 			work := float64(load[key])
-			if a != nil && !r.Moving() && work > a.top {
-				a.top, a.topKey = work, uint16(key)
+			if a != nil && !r.Moving() && work > a.hottestWork {
+				a.hottestWork, a.hottestKey = work, uint16(key)
 			}
-			p.below[key+1] = p.below[key] + min(work, most) + idleWork/(MaxKey+1)
+			p.workBelow[key+1] = p.workBelow[key] + min(work, maxWork) + baselineWork/(MaxKey+1)
 		}
 	}
 }
 
 const (
-	// loneShare is the part of what its owner can do from which on a single key is looked at by
-	// itself: its requests queue whatever else is moved away.
-	loneShare = 0.75
-	// loneGain is the least ratio of what the next owner of such a key can do to what its owner
-	// can. The move stops the key for as long as its running requests take, about 0.3 s.
-	loneGain = 1.25
+	// hotKeyShare is the share of its owner's capacity from which on a single key is considered by
+	// itself: its requests queue even if all other keys are moved away.
+	hotKeyShare = 0.75
+	// hotKeyMinGain is the least ratio of the capacity of the next owner of such a key to that of
+	// its owner. The move stops the key for as long as its running requests take, about 0.3 s.
+	hotKeyMinGain = 1.25
 )
 
-// lone finds a single key that is too much for its owner, and moves it to the target that can do
-// most of it. A key cannot be cut. Where a key got 100 requests a second of 0.22 s, an average
-// target of six slots answered 22 of them, the fastest one 47.
-func (p *planner) lone() (Move, bool) {
-	for _, a := range p.order {
-		if a.top < loneShare*a.Slots {
+// nextHotKeyMove finds a single key that is too much for its owner, and moves it to the target with
+// the largest capacity: a key can't be split. Of 100 requests a second of 0.22 s for one key, an
+// average target with six slots answered 22, the fastest one 47.
+func (p *planner) nextHotKeyMove() (Move, bool) {
+	for _, a := range p.targets {
+		if a.hottestWork < hotKeyShare*a.Slots {
 			continue
 		}
 		best := a
-		for _, b := range p.order {
-			if b.Slots > best.Slots && b.top < loneShare*b.Slots {
+		for _, b := range p.targets {
+			if b.Slots > best.Slots && b.hottestWork < hotKeyShare*b.Slots {
 				best = b
 			}
 		}
-		if best.Slots < loneGain*a.Slots {
+		if best.Slots < hotKeyMinGain*a.Slots {
 			continue
 		}
-		p.apply(a, best, Range{From: a.topKey, To: a.topKey})
-		return Move{From: a.topKey, To: a.topKey, Next: best.Target}, true
+		p.apply(a, best, Range{From: a.hottestKey, To: a.hottestKey})
+		return Move{From: a.hottestKey, To: a.hottestKey, Next: best.Target}, true
 	}
 	return Move{}, false
 }
 
-// work returns the load of the keys from..to.
-func (p *planner) work(from, to uint16) float64 { return p.below[int(to)+1] - p.below[from] }
+// work returns the work of the keys from..to.
+func (p *planner) work(from, to uint16) float64 { return p.workBelow[int(to)+1] - p.workBelow[from] }
 
-// reaches returns the first key up to which the keys from.. have at least the given work, or
-// to if there is none.
-func (p *planner) reaches(from, to uint16, work float64) uint16 {
+// firstKeyReaching returns the lowest key such that the keys from the start of from..to up to it
+// have at least the given work, or to if there is none.
+func (p *planner) firstKeyReaching(from, to uint16, work float64) uint16 {
 	n := sort.Search(int(to)-int(from), func(i int) bool { return p.work(from, from+uint16(i)) >= work })
 	return from + uint16(n)
 }
 
-// reachesBack returns the last key from which on the keys ..to have at least the given work,
-// or from if there is none.
-func (p *planner) reachesBack(from, to uint16, work float64) uint16 {
+// lastKeyReaching returns the highest key such that the keys from it up to the end of from..to have
+// at least the given work, or from if there is none.
+func (p *planner) lastKeyReaching(from, to uint16, work float64) uint16 {
 	n := sort.Search(int(to)-int(from), func(i int) bool { return p.work(to-uint16(i), to) >= work })
 	return to - uint16(n)
 }
 
-// next finds the move that helps the fullest target which can still be helped.
-func (p *planner) next() (Move, bool) {
+// nextMove finds a move away from the most utilised target from which any keys can be moved.
+func (p *planner) nextMove() (Move, bool) {
 	mean := p.mean()
-	coldest := p.emptiest()
+	dest := p.leastUtilised()
 	for {
-		hottest := p.hottest()
-		if hottest == nil || hottest == coldest {
+		source := p.mostUtilised()
+		if source == nil || source == dest {
 			return Move{}, false
 		}
-		gain := hottest.utilisation() - coldest.utilisation()
-		empty := coldest.work == 0
-		if !empty && (hottest.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinGain) {
+		gain := source.utilisation() - dest.utilisation()
+		empty := dest.work == 0
+		if !empty && (source.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinGain) {
 			return Move{}, false
 		}
-		if cut, ok := p.cut(hottest, coldest); ok {
-			p.apply(hottest, coldest, cut)
-			return Move{From: cut.From, To: cut.To, Next: coldest.Target}, true
+		if cut, ok := p.bestCut(source, dest); ok {
+			p.apply(source, dest, cut)
+			return Move{From: cut.From, To: cut.To, Next: dest.Target}, true
 		}
-		hottest.stuck = true
+		source.exhausted = true
 	}
 }
 
+// mean returns the utilisation of all targets together.
 func (p *planner) mean() float64 {
 	work, slots := 0.0, 0.0
-	for _, a := range p.order {
+	for _, a := range p.targets {
 		work += a.work
 		slots += a.Slots
 	}
 	return work / slots
 }
 
-func (p *planner) hottest() *account {
-	var best *account
-	for _, a := range p.order {
-		if !a.stuck && (best == nil || a.utilisation() > best.utilisation()) {
+// mostUtilised returns the most utilised target that is not exhausted, or nil.
+func (p *planner) mostUtilised() *targetLoad {
+	var best *targetLoad
+	for _, a := range p.targets {
+		if !a.exhausted && (best == nil || a.utilisation() > best.utilisation()) {
 			best = a
 		}
 	}
 	return best
 }
 
-// cut finds the beginning or end of one of the giver's ranges whose load comes closest to
-// what makes both equally full. It never makes the taker fuller than the giver was.
-func (p *planner) cut(giver, taker *account) (Range, bool) {
-	want := (giver.work*taker.Slots - taker.work*giver.Slots) / (giver.Slots + taker.Slots)
-	most := (giver.utilisation() - taker.utilisation()) * taker.Slots * 0.9
-	best, bestOff := Range{}, math.Inf(1)
+// bestCut finds the beginning or end of one of the source's ranges whose work comes closest to what
+// makes the utilisation of both targets equal. The destination's utilisation grows by at most 90 %
+// of the difference, so it stays below what the source's was.
+func (p *planner) bestCut(source, dest *targetLoad) (Range, bool) {
+	wanted := (source.work*dest.Slots - dest.work*source.Slots) / (source.Slots + dest.Slots)
+	maxWork := (source.utilisation() - dest.utilisation()) * dest.Slots * 0.9
+	best, bestDiff := Range{}, math.Inf(1)
 	consider := func(from, to uint16, work float64) {
-		if work > most || work <= 0 {
+		if work > maxWork || work <= 0 {
 			return
 		}
-		if off := math.Abs(work - want); off < bestOff {
-			best, bestOff = Range{From: from, To: to}, off
+		if diff := math.Abs(work - wanted); diff < bestDiff {
+			best, bestDiff = Range{From: from, To: to}, diff
 		}
 	}
-	for _, r := range giver.pieces {
-		p.prefixes(r, want, consider)
-		p.suffixes(r, want, consider)
+	for _, r := range source.ranges {
+		p.considerPrefixes(r, wanted, consider)
+		p.considerSuffixes(r, wanted, consider)
 	}
-	// A piece that brings less than this share of what is wanted is not worth stopping
-	// its keys.
-	const leastShare = 0.25
-	return best, bestOff <= want*(1-leastShare)
+	// Keys with less than this share of the wanted work are not worth stopping.
+	const minShare = 0.25
+	return best, bestDiff <= wanted*(1-minShare)
 }
 
-func (p *planner) prefixes(r Range, want float64, consider func(from, to uint16, work float64)) {
-	to := p.reaches(r.From, r.To, want)
+// considerPrefixes calls consider for the beginnings of a range whose work is just above and just
+// below what is wanted.
+func (p *planner) considerPrefixes(r Range, wanted float64, consider func(from, to uint16, work float64)) {
+	to := p.firstKeyReaching(r.From, r.To, wanted)
 	consider(r.From, to, p.work(r.From, to))
 	if to > r.From {
 		consider(r.From, to-1, p.work(r.From, to-1))
 	}
 }
 
-func (p *planner) suffixes(r Range, want float64, consider func(from, to uint16, work float64)) {
-	from := p.reachesBack(r.From, r.To, want)
+// considerSuffixes calls consider for the ends of a range whose work is just above and just below
+// what is wanted.
+func (p *planner) considerSuffixes(r Range, wanted float64, consider func(from, to uint16, work float64)) {
+	from := p.lastKeyReaching(r.From, r.To, wanted)
 	consider(from, r.To, p.work(from, r.To))
 	if from < r.To {
 		consider(from+1, r.To, p.work(from+1, r.To))
 	}
 }
 
-func (p *planner) apply(giver, taker *account, cut Range) {
+// apply moves the work of the keys from the source to the destination. The keys are not moved again
+// in the same plan.
+func (p *planner) apply(source, dest *targetLoad, cut Range) {
 	work := p.work(cut.From, cut.To)
-	giver.work -= work
-	taker.work += work
+	source.work -= work
+	dest.work += work
 	var rest []Range
-	for _, r := range giver.pieces {
+	for _, r := range source.ranges {
 		if r.To < cut.From || r.From > cut.To {
 			rest = append(rest, r)
 			continue
 		}
 		if r.From < cut.From {
-			before := r
-			before.To = cut.From - 1
-			rest = append(rest, before)
+			left := r
+			left.To = cut.From - 1
+			rest = append(rest, left)
 		}
 		if r.To > cut.To {
-			after := r
-			after.From = cut.To + 1
-			rest = append(rest, after)
+			right := r
+			right.From = cut.To + 1
+			rest = append(rest, right)
 		}
 	}
-	giver.pieces = rest
+	source.ranges = rest
 }
 
-// Utilisation returns the load of each target relative to its capacity.
+// Utilisation returns the load of each target divided by its capacity, by target ID.
 func Utilisation(m *Map, load *Load, targets []Capacity) map[string]float64 {
 	p := newPlanner(m, load, targets, Policy{})
 	out := make(map[string]float64, len(targets))
-	for _, a := range p.order {
+	for _, a := range p.targets {
 		out[a.Target] = a.utilisation()
 	}
 	return out
