--- a/coordination/assign/assign_test.go
+++ b/coordination/assign/assign_test.go
@@ -21,25 +21,27 @@
 
 var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, MinGain: 0.1}}
 
+// target returns a target with six slots.
 func target(id string) view.Target {
 	return view.Target{ID: id, Service: "s", Address: "address-" + id, Slots: 6}
 }
 
+// draining returns the target as draining.
 func draining(t view.Target) view.Target {
 	t.Draining = true
 	return t
 }
 
-// settle drives a manager whose targets answer every order at once until nothing changes.
+// settle runs a manager for 5 s with targets that answer every order at once.
 func settle(m *Manager, now clock.Instant, targets []view.Target) clock.Instant {
 	for range 200 {
-		now = settleOnce(m, now, targets)
+		now = settleStep(m, now, targets)
 	}
 	return now
 }
 
-// settleOnce is one look of settle.
-func settleOnce(m *Manager, now clock.Instant, targets []view.Target) clock.Instant {
+// settleStep is one step of settle, of 25 ms.
+func settleStep(m *Manager, now clock.Instant, targets []view.Target) clock.Instant {
 	now = now.Add(25 * time.Millisecond)
 	m.SetTargets(now, targets)
 	for _, o := range m.Tick(now, false) {
@@ -51,6 +53,7 @@
 	return now
 }
 
+// owners returns the number of keys that each target serves.
 func owners(m *keyrange.Map) map[string]int {
 	keys := map[string]int{}
 	for _, r := range m.Ranges {
@@ -61,8 +64,9 @@
 	return keys
 }
 
-// until drives a manager to its next proposal, with no answer to any order.
-func until(m *Manager, now clock.Instant) (*keyrange.Map, clock.Instant) {
+// nextProposal runs a manager until its next proposal; no order gets an answer. It returns nil if
+// there is no proposal within 25 s.
+func nextProposal(m *Manager, now clock.Instant) (*keyrange.Map, clock.Instant) {
 	for range 1000 {
 		now = now.Add(25 * time.Millisecond)
 		m.Tick(now, false)
@@ -74,14 +78,14 @@
 }
 
 var _ = ginkgo.Describe("a manager", func() {
-	ginkgo.It("gives all keys to the targets that are there", func() {
+	ginkgo.It("distributes all keys among the listed targets", func() {
 		m := NewManager(config, nil, start)
 		settle(m, start, []view.Target{target("a"), target("b"), target("c")})
 		Expect(owners(m.Map())).To(HaveLen(3))
 		Expect(owners(m.Map())["a"]).To(BeNumerically("~", 21845, 2))
 	})
 
-	ginkgo.It("empties a target that leaves, with a single release", func() {
+	ginkgo.It("moves all keys of a leaving target away, with a single release", func() {
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{target("a"), target("b"), target("c")})
 		now = now.Add(25 * time.Millisecond)
@@ -99,10 +103,9 @@
 		Expect(owners(m.Map())).NotTo(HaveKey("a"))
 	})
 
-	// Symptom: two targets hold the same keys for four seconds.
-	// Sequence: a range is on its way to a target that begins to drain; another one is to
-	// get it instead; before that change is stored the grant to the first goes out.
-	// Cause: between the proposal and its storing the manager acted on the old map.
+	// Guards against two targets that hold the same keys for four seconds. A range was moving to a
+	// target that began to drain, so another target was to get it. Before that change was stored,
+	// the manager still acted on the old map and sent the grant to the first target.
 	ginkgo.It("grants nothing under a fence that is about to be replaced", func() {
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{target("a"), target("b"), target("c")})
@@ -126,17 +129,17 @@
 		}
 	})
 
-	// Symptom: two targets hold the same keys. Sequence: a target stops answering, and its
-	// keys are given to others before its last hold has run out on its slow clock.
-	ginkgo.It("waits out the hold of a target that does not answer", func() {
+	// Guards against two targets that hold the same keys: a target stops answering, and its keys
+	// are granted to others before its last hold has run out by its slow clock.
+	ginkgo.It("waits until the hold of a target that does not answer has run out", func() {
 		m := NewManager(config, nil, start)
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
-		for now.Sub(start) < holdEnd(config.HoldMax) {
-			// Until then a former leading instance may have granted more.
+		for now.Sub(start) < holdExpiry(config.HoldMax) {
+			// Until then, grants of a former leader may be in force.
 			now = settle(m, now, targets)
 		}
-		fell := now
+		failedAt := now
 		held := now
 		granted := clock.Never
 		for range 600 {
@@ -161,35 +164,34 @@
 		}
 		Expect(granted).NotTo(Equal(clock.Never))
 		Expect(granted).To(BeNumerically(">=", held))
-		Expect(granted.Sub(fell)).To(BeNumerically("<", renewSoonest+changeTime+time.Second))
+		Expect(granted.Sub(failedAt)).To(BeNumerically("<", minRenewInterval+failoverTime+time.Second))
 		Expect(owners(m.Map())).NotTo(HaveKey("a"))
 	})
 
-	ginkgo.It("gives the keys of a target away at once when another is listed at its address", func() {
+	ginkgo.It("reassigns the keys of a target at once when another target is listed at its address", func() {
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{target("a"), target("b")})
-		reborn := target("a2")
-		reborn.Address = target("a").Address
-		now = settle(m, now, []view.Target{reborn, target("b")})
+		restarted := target("a2")
+		restarted.Address = target("a").Address
+		now = settle(m, now, []view.Target{restarted, target("b")})
 		Expect(now.Sub(start)).To(BeNumerically("<", 11*time.Second))
 		Expect(owners(m.Map())).NotTo(HaveKey("a"))
 		Expect(owners(m.Map())).To(HaveKey("a2"))
 	})
 
-	// Symptom: a target that has just got keys loses them to another one, and both hold them.
-	// Sequence: a target crashes and starts again at its address; its former entry has not
-	// lapsed yet, so that two are listed there. Cause: the new life was taken for the one that
-	// had ended, and its keys were given on without a release.
-	ginkgo.It("takes neither of two targets at one address for ended", func() {
-		former, reborn := target("b"), target("a")
-		reborn.Address = former.Address
+	// Guards against two targets that hold the same keys. A target crashed and was restarted at its
+	// address while its former entry had not lapsed yet, so that two targets were listed there. The
+	// new process was taken for the ended one, and its new keys were reassigned without a release.
+	ginkgo.It("does not take a listed target for ended because another has its address", func() {
+		former, restarted := target("b"), target("a")
+		restarted.Address = former.Address
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{former, target("c")})
 		now = now.Add(25 * time.Millisecond)
-		m.SetTargets(now, []view.Target{reborn, former, target("c")})
+		m.SetTargets(now, []view.Target{restarted, former, target("c")})
 		for range 40 {
 			now = now.Add(25 * time.Millisecond)
-			m.SetTargets(now, []view.Target{reborn, former, target("c")})
+			m.SetTargets(now, []view.Target{restarted, former, target("c")})
 			for _, o := range m.Tick(now, false) {
 				outcome := Done
 				if o.Target == former.ID {
@@ -201,26 +203,26 @@
 				m.Stored(p)
 			}
 		}
-		Expect(m.holder(reborn.ID).ended).To(BeFalse())
+		Expect(m.holder(restarted.ID).ended).To(BeFalse())
 		Expect(m.holder(former.ID).ended).To(BeTrue())
-		Expect(owners(m.Map())).To(HaveKey(reborn.ID))
+		Expect(owners(m.Map())).To(HaveKey(restarted.ID))
 	})
 
-	// Symptom: two targets hold the same keys. Sequence: a target crashes and starts again;
-	// both lives are listed; the new one is cut from the registry, and its entry lapses first.
-	// Cause: the entry of the former life was taken to show that the new one had ended.
-	ginkgo.It("does not take a target for ended because its former life is still listed", func() {
-		former, reborn := target("a"), target("b")
-		reborn.Address = former.Address
+	// Guards against two targets that hold the same keys. A target crashed and was restarted, and
+	// both processes were listed. The new one was cut off from the registry and its entry lapsed
+	// first. The entry of the former process was taken as proof that the new one had ended.
+	ginkgo.It("does not take a target for ended because its former process is still listed", func() {
+		former, restarted := target("a"), target("b")
+		restarted.Address = former.Address
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{former, target("c")})
-		m.SetTargets(now, []view.Target{former, reborn, target("c")})
+		m.SetTargets(now, []view.Target{former, restarted, target("c")})
 		m.SetTargets(now.Add(time.Second), []view.Target{former, target("c")})
-		Expect(m.holder(reborn.ID).ended).To(BeFalse())
+		Expect(m.holder(restarted.ID).ended).To(BeFalse())
 	})
 
-	// Symptom: a target that its former leading instance still renewed loses its keys to
-	// another one. Cause: the new leading instance does not know what was granted last.
+	// Guards against reassigning keys of a target whose grants the former leader has just renewed:
+	// a new leader does not know what was granted last.
 	ginkgo.It("waits for the longest hold after it took over", func() {
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{target("a"), target("b")})
@@ -249,14 +251,14 @@
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
 		before := m.Map().Find(0).Fence
-		for _, o := range m.Tick(now.Add(renewLatest), false) {
+		for _, o := range m.Tick(now.Add(maxRenewInterval), false) {
 			outcome := Done
 			if o.From == 0 {
 				outcome = HigherFence
 			}
-			m.RecordOutcome(now.Add(renewLatest), o, outcome, "")
+			m.RecordOutcome(now.Add(maxRenewInterval), o, outcome, "")
 		}
-		settle(m, now.Add(renewLatest), targets)
+		settle(m, now.Add(maxRenewInterval), targets)
 		Expect(m.Map().Find(0).Fence).To(BeNumerically(">", before))
 		Expect(m.Map().Find(0).Owner).NotTo(BeEmpty())
 	})
@@ -264,9 +266,9 @@
 	ginkgo.It("proposes one change at a time", func() {
 		m := NewManager(config, nil, start)
 		m.SetTargets(start, []view.Target{target("a"), target("b")})
-		p, now := until(m, start)
+		p, now := nextProposal(m, start)
 		Expect(p).NotTo(BeNil())
-		again, _ := until(m, now)
+		again, _ := nextProposal(m, now)
 		Expect(again).To(BeNil())
 	})
 })
--- a/coordination/assign/capacity.go
+++ b/coordination/assign/capacity.go
@@ -8,11 +8,11 @@
 	"lycheehall.example/lycheehall/coordination/keyrange"
 )
 
-// capacities lists the targets that may be given keys, but for one.
+// capacities returns the targets that may be given keys, except one, sorted by ID.
 func (m *Manager) capacities(now clock.Instant, except string) []keyrange.Capacity {
 	var list []keyrange.Capacity
 	for id, h := range m.holders {
-		if id != except && h.takes() {
+		if id != except && h.eligible() {
 			list = append(list, keyrange.Capacity{Target: id, Slots: m.capacity(now, h)})
 		}
 	}
@@ -20,7 +20,8 @@
 	return list
 }
 
-// capacity returns the work that a target can do, in slots of an average target.
+// capacity returns the capacity of a target, in slots of an average target. A cold target, or one
+// that names a limit, has no more than it takes at its limit of requests a second.
 func (m *Manager) capacity(now clock.Instant, h *holder) float64 {
 	slots := float64(h.target.Slots) * h.speed
 	if m.coldRate > 0 && now < h.target.ColdUntil {
--- a/coordination/assign/cold_test.go
+++ b/coordination/assign/cold_test.go
@@ -10,7 +10,7 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// evenLoad is the same work for each key, in slots for all together.
+// evenLoad returns a load with the same work for each key; total is the work of all keys, in slots.
 func evenLoad(total float32) *keyrange.Load {
 	load := &keyrange.Load{}
 	for key := range load {
@@ -19,8 +19,8 @@
 	return load
 }
 
-var _ = ginkgo.Describe("keys and cold targets", func() {
-	ginkgo.It("go to them as far as they bear it, and further when they are warm (guards against a returned data centre that breaks down)", func() {
+var _ = ginkgo.Describe("keys", func() {
+	ginkgo.It("move to a cold target only as far as its cold rate allows, and further when it is warm (guards against a data centre that breaks down when its evacuation ends)", func() {
 		m := NewManager(config, nil, start)
 		m.SetColdRate(2, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
@@ -36,7 +36,7 @@
 		Expect(share).To(BeNumerically("~", 0.5, 0.1))
 	})
 
-	ginkgo.It("leave one that names a limit but for what it takes, and come back when it names none", func() {
+	ginkgo.It("move away from a target that names a limit, except for what it takes, and back when it names none", func() {
 		m := NewManager(config, nil, start)
 		m.SetColdRate(0, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
@@ -52,7 +52,7 @@
 		Expect(share()).To(BeNumerically("~", 0.5, 0.1))
 	})
 
-	ginkgo.It("leave an evacuated data centre all at once, and come back when it is taken back", func() {
+	ginkgo.It("all move away from an evacuated data centre at once, and back when the evacuation ends", func() {
 		m := NewManager(config, nil, start)
 		m.SetLoad(evenLoad(6), nil)
 		a, b, c := target("a"), target("b"), target("c")
@@ -60,7 +60,7 @@
 		Expect(owners(m.Map())).To(HaveLen(3))
 		begun := now
 		for len(owners(m.Map())) > 2 || owners(m.Map())["a"] > 0 {
-			now = settleOnce(m, now, []view.Target{draining(a), b, c})
+			now = settleStep(m, now, []view.Target{draining(a), b, c})
 			Expect(now.Sub(begun)).To(BeNumerically("<", time.Second))
 		}
 		settle(m, now, []view.Target{a, b, c})
--- a/coordination/assign/lose_test.go
+++ b/coordination/assign/lost_test.go
@@ -10,7 +10,7 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-var _ = ginkgo.Describe("keys whose owner left the registry and answers nothing", func() {
+var _ = ginkgo.Describe("keys whose owner is not listed and does not answer", func() {
 	lost := func(m *keyrange.Map) (keys int) {
 		for _, r := range m.Ranges {
 			if r.Lost {
@@ -20,14 +20,14 @@
 		return keys
 	}
 
-	ginkgo.It("are said to be lost until its hold has run out (guards against callers that wait for them)", func() {
+	ginkgo.It("are marked as lost until its hold has run out (guards against callers that wait for them)", func() {
 		m := NewManager(config, nil, start)
 		m.SetLoad(evenLoad(6), nil)
 		a, b := target("a"), target("b")
 		now := settle(m, start, []view.Target{a, b})
 		had := owners(m.Map())["a"]
-		// away drives the manager while a answers nothing.
-		away := func(length time.Duration) {
+		// runWithoutA runs the manager while a is not listed and does not answer.
+		runWithoutA := func(length time.Duration) {
 			for end := now.Add(length); now < end; {
 				now = now.Add(25 * time.Millisecond)
 				m.SetTargets(now, []view.Target{b})
@@ -43,9 +43,9 @@
 				}
 			}
 		}
-		away(lostAfter + retryAfter + time.Second)
+		runWithoutA(lostAfter + retryAfter + time.Second)
 		Expect(lost(m.Map())).To(Equal(had))
-		away(config.HoldMax)
+		runWithoutA(config.HoldMax)
 		Expect(lost(m.Map())).To(BeZero())
 		Expect(owners(m.Map())["b"]).To(Equal(keyrange.MaxKey + 1))
 	})
--- a/coordination/assign/propose.go
+++ b/coordination/assign/propose.go
@@ -9,37 +9,37 @@
 	"lycheehall.example/lycheehall/coordination/keyrange"
 )
 
-// Propose returns a changed map to be stored, or nil. Until Stored or NotStored is called
-// there is no other proposal.
+// Propose returns a changed map to be stored, or nil if there is nothing to change. It returns no
+// other map until Stored or NotStored is called.
 func (m *Manager) Propose(now clock.Instant) *keyrange.Map {
 	if m.proposed != nil {
 		return nil
 	}
 	e := m.current.Edit()
 	moving := 0
-	var orphans, lost []keyrange.Range
+	var toReassign, lost []keyrange.Range
 	for _, r := range m.current.Ranges {
 		switch {
 		case r.Moving():
 			moving++
-			m.conclude(e, now, r)
-			m.lose(e, now, r)
-		case m.refusedRenewal(r):
+			m.concludeMove(e, now, r)
+			m.markLost(e, now, r)
+		case m.takeRefusedRenewal(r):
 			e.Move(r.From, r.To, r.Owner, false)
-		case m.holder(r.Owner).answersStill():
-			orphans = append(orphans, r)
-		case m.unreachable(now, r):
+		case m.holder(r.Owner).canRelease():
+			toReassign = append(toReassign, r)
+		case m.ownerLost(now, r):
 			lost = append(lost, r)
-		case m.leaves(now, r):
-			orphans = append(orphans, r)
+		case m.needsOwner(now, r):
+			toReassign = append(toReassign, r)
 		}
 	}
-	m.grantAnew(e, now)
-	m.spread(e, now, orphans, false)
-	m.spread(e, now, lost, true)
+	m.regrantUnverified(e, now)
+	m.reassign(e, now, toReassign, false)
+	m.reassign(e, now, lost, true)
 	m.balance(e, now, moving)
-	if e.Changed() || len(m.current.Ranges) > joinAbove*len(m.holders) {
-		e.MergeAdjoining(func(owner string) bool { return m.holder(owner).takes() })
+	if e.Changed() || len(m.current.Ranges) > mergeAbove*len(m.holders) {
+		e.MergeAdjoining(func(owner string) bool { return m.holder(owner).eligible() })
 	}
 	if !e.Changed() {
 		return nil
@@ -48,35 +48,37 @@
 	return m.proposed
 }
 
-// grantAnew raises the fences of targets that may have been started again: whoever answers at
-// the address gets the keys under a fence that no former process has had. A target that was not
-// started again takes the new grant in place of the former one; its running work goes on.
-func (m *Manager) grantAnew(e *keyrange.Editor, now clock.Instant) {
+// regrantUnverified raises the fences of targets that may have been restarted: the process that
+// answers at the address gets the keys under a fence that no former process has had. A target that
+// was not restarted accepts the new grant in place of the former one, and its running work
+// continues.
+func (m *Manager) regrantUnverified(e *keyrange.Editor, now clock.Instant) {
 	for id, h := range m.holders {
-		if !h.unverified || h.anewAt != clock.Never && now.Sub(h.anewAt) < anewEvery {
+		if !h.unverified || h.regrantedAt != clock.Never && now.Sub(h.regrantedAt) < regrantInterval {
 			continue
 		}
 		h.unverified = false
-		h.anewAt = now
-		if h.takes() || h.listed && !h.ended {
+		h.regrantedAt = now
+		if h.eligible() || h.listed && !h.ended {
 			e.RaiseFences(id)
 		}
 	}
 }
 
-// answersStill reports whether a target that is no longer listed can be asked to give its keys
-// up: it was started again, or is cut off from the registry only. Its keys change hands within
-// the time that running work takes, for which requests wait; those of a target that is lost are
+// canRelease reports whether a target that is no longer listed can be asked to give its keys up: it
+// was restarted, or it is only cut off from the registry. Its keys move within the time that
+// running work takes, and requests for them wait. Requests for the keys of a lost target are
 // refused at once.
-func (h *holder) answersStill() bool {
+func (h *holder) canRelease() bool {
 	if h.listed || h.ended || h.target.Address == "" {
 		return false
 	}
 	return h.restarted || !h.failing()
 }
 
-// conclude ends a move whose next owner has the keys, or gives it another next owner.
-func (m *Manager) conclude(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
+// concludeMove ends a move whose next owner has the keys. If the next owner cannot take them, it
+// begins the move to another owner, or to the same owner under a higher fence.
+func (m *Manager) concludeMove(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
 	mv := m.move(now, r)
 	next := m.holder(r.Next)
 	if mv.granted {
@@ -89,85 +91,87 @@
 	}
 	if !gone && !mv.refused {
 		if now >= mv.retryAt {
-			m.offerAnew(e, r, mv)
+			m.grantAgain(e, r, mv)
 		}
 		return
 	}
 	target := r.Next
 	if gone {
-		list := m.emptiest(m.capacities(now, r.Next), 1)
+		list := m.leastUtilised(m.capacities(now, r.Next), 1)
 		if len(list) == 0 {
 			return
 		}
 		target = list[0].Target
 	}
-	// No grant may go out under this fence any more, also if the change is not stored: once
-	// it is, the keys go to another target, and two would hold them.
+	// No grant may be sent under this fence any more, even if the change is not stored at first:
+	// once it is stored, the keys go to another target, and two targets would hold them.
 	mv.refused = true
 	if mv.offered {
-		// The former next owner may hold the keys: it is to be released like any owner.
+		// The former next owner may hold the keys, so it must release them like any owner.
 		e.Finish(r.From, r.To)
 		e.Move(r.From, r.To, target, next.lost(now))
 		return
 	}
 	e.Move(r.From, r.To, target, r.Lost)
-	m.moves[piece{r.From, r.To, e.Version()}] = &move{released: true, handover: mv.handover, retryAt: clock.Never, begun: mv.begun}
+	m.moves[rangeKey{r.From, r.To, e.Version()}] = &move{released: true, handover: mv.handover, retryAt: clock.Never, startedAt: mv.startedAt}
 }
 
-// lose tells of a range whose owner answers no order to give it up, so that requests for it are refused
-// instead of waiting: its keys are served again only when its hold has surely run out.
-func (m *Manager) lose(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
+// markLost marks a moving range as lost if its owner does not answer the release, so that requests
+// for it are refused instead of waiting: its keys are served again only when the hold is certain to
+// have run out.
+func (m *Manager) markLost(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
 	if r.Lost || r.Owner == "" || m.move(now, r).released || !m.holder(r.Owner).lost(now) {
 		return
 	}
 	e.MarkLost(r.From, r.To)
 }
 
-// offerAnew offers a range to the same next owner under a higher fence.
-func (m *Manager) offerAnew(e *keyrange.Editor, r keyrange.Range, mv *move) {
+// grantAgain moves a range to the same next owner under a higher fence.
+func (m *Manager) grantAgain(e *keyrange.Editor, r keyrange.Range, mv *move) {
 	e.Move(r.From, r.To, r.Next, r.Lost)
-	m.moves[piece{r.From, r.To, e.Version()}] = &move{released: true, offered: true, handover: mv.handover, retryAt: clock.Never, begun: mv.begun}
-	// Also if the change is not stored: the keys are then released first.
+	m.moves[rangeKey{r.From, r.To, e.Version()}] = &move{released: true, offered: true, handover: mv.handover, retryAt: clock.Never, startedAt: mv.startedAt}
+	// No grant may be sent under the old fence. If the change is not stored, the keys are released
+	// first.
 	mv.refused = true
 }
 
-// refusedRenewal reports whether the owner of a range refused to keep it under its fence. It
-// gets the keys again under a higher one.
-func (m *Manager) refusedRenewal(r keyrange.Range) bool {
-	p := piece{r.From, r.To, r.Fence}
-	mv := m.moves[p]
+// takeRefusedRenewal reports whether the owner of a range refused a renewal because it has seen a
+// higher fence, and deletes that record. The owner gets the keys again under a higher fence.
+func (m *Manager) takeRefusedRenewal(r keyrange.Range) bool {
+	key := rangeKey{r.From, r.To, r.Fence}
+	mv := m.moves[key]
 	if r.Owner == "" || mv == nil || !mv.refused {
 		return false
 	}
-	delete(m.moves, p)
+	delete(m.moves, key)
 	return true
 }
 
-// unreachable reports whether the owner of a range cannot be asked to give it up.
-func (m *Manager) unreachable(now clock.Instant, r keyrange.Range) bool {
+// ownerLost reports whether the owner of a range cannot be asked to give it up.
+func (m *Manager) ownerLost(now clock.Instant, r keyrange.Range) bool {
 	if r.Owner == "" {
 		return false
 	}
 	h := m.holder(r.Owner)
-	if !h.listed && h.target.Address == "" && now.Sub(m.tookOver) < settleFor {
+	if !h.listed && h.target.Address == "" && now.Sub(m.startedAt) < startupWait {
 		// The registry may not have been read yet.
 		return false
 	}
 	return h.ended || h.lost(now) || !h.listed
 }
 
-// leaves reports whether a range needs another owner: it has none, or one that is about to
-// leave. Keys that nobody has ever had go to the targets that are there.
-func (m *Manager) leaves(now clock.Instant, r keyrange.Range) bool {
+// needsOwner reports whether a range needs another owner: its owner is draining, or it has none.
+// Keys without an owner are given out startupWait after the first target was listed.
+func (m *Manager) needsOwner(now clock.Instant, r keyrange.Range) bool {
 	if r.Owner == "" {
-		return m.firstTarget != clock.Never && now.Sub(m.firstTarget) >= settleFor
+		return m.firstTargetAt != clock.Never && now.Sub(m.firstTargetAt) >= startupWait
 	}
 	h := m.holder(r.Owner)
 	return h.listed && h.target.Draining
 }
 
-// spread gives ranges on to the targets that take keys.
-func (m *Manager) spread(e *keyrange.Editor, now clock.Instant, ranges []keyrange.Range, lost bool) {
+// reassign begins to move ranges to the targets that can get keys.
+func (m *Manager) reassign(e *keyrange.Editor, now clock.Instant, ranges []keyrange.Range, lost bool) {
 	if len(ranges) == 0 {
 		return
 	}
@@ -176,8 +180,8 @@
 	}
 }
 
-// emptiest returns the targets with the least work for their capacity.
-func (m *Manager) emptiest(list []keyrange.Capacity, count int) []keyrange.Capacity {
+// leastUtilised returns the count least utilised targets of a list.
+func (m *Manager) leastUtilised(list []keyrange.Capacity, count int) []keyrange.Capacity {
 	if len(list) <= count {
 		return list
 	}
@@ -187,28 +191,29 @@
 }
 
 const (
-	// leastMoves is the number of ranges that may change hands for balance at a time, whatever
-	// the number of targets. Requests for them wait until the running ones have ended.
-	leastMoves = 8
-	// movesPart is the part of the targets that may give keys away at a time. Load that has
-	// moved is evened out in a few steps, whatever the number of targets.
-	movesPart = 4
-	// maxRanges bounds the ranges of a map, which is one row of at most 64 KiB; a range takes
-	// about 10 bytes, and its owner's name 15.
+	// minConcurrentMoves is the number of ranges that may move at a time to balance the load,
+	// however few targets there are. Requests for them wait until the running ones have ended.
+	minConcurrentMoves = 8
+	// targetsPerMove is the number of targets for each range that may move at a time. With moves in
+	// proportion to the targets, load is balanced in a few steps for any number of targets.
+	targetsPerMove = 4
+	// maxRanges is the number of ranges above which no moves to balance the load begin. A map is
+	// stored in one row of at most 64 KiB; a range takes about 10 bytes, and an owner's name 15.
 	maxRanges = 4000
-	// joinAbove is the number of ranges for each target from which on adjoining ones of one
-	// owner are joined even if nothing else is to be stored.
-	joinAbove = 2
+	// mergeAbove is the number of ranges for each target above which adjoining ranges of the same
+	// owner are merged even if there is nothing else to store.
+	mergeAbove = 2
 )
 
+// balance begins moves that balance the load, unless other changes are pending.
 func (m *Manager) balance(e *keyrange.Editor, now clock.Instant, moving int) {
 	targets := m.capacities(now, "")
-	every := min(balanceLatest, max(balanceSoonest, time.Duration(len(targets))*balanceEach))
+	every := min(maxBalanceInterval, max(minBalanceInterval, time.Duration(len(targets))*balanceIntervalPerTarget))
 	if m.balancedAt != clock.Never && now.Sub(m.balancedAt) < every {
 		return
 	}
 	m.balancedAt = now
-	room := max(leastMoves, len(targets)/movesPart) - moving
+	room := max(minConcurrentMoves, len(targets)/targetsPerMove) - moving
 	if e.Changed() || room <= 0 || len(m.current.Ranges) > maxRanges {
 		return
 	}
--- a/coordination/assign/renew.go
+++ b/coordination/assign/renew.go
@@ -7,156 +7,161 @@
 	"lycheehall.example/lycheehall/coordination/keyrange"
 )
 
-// holdEnd is how long after it was sent a grant has surely run out.
-func holdEnd(hold time.Duration) time.Duration {
+// holdExpiry returns how long after it was sent a grant with the given hold is certain to have run
+// out.
+func holdExpiry(hold time.Duration) time.Duration {
 	return hold + time.Duration(float64(hold)*clockTolerance) + holdSlack
 }
 
-// GrantLifetime is how long after it was sent a grant with the longest hold has surely run out.
-func GrantLifetime(holdMax time.Duration) time.Duration { return holdEnd(holdMax) }
+// GrantLifetime returns how long after it was sent a grant with the longest hold is certain to have
+// run out.
+func GrantLifetime(holdMax time.Duration) time.Duration { return holdExpiry(holdMax) }
 
-// formerHeld is when what former leading instances granted has surely run out.
-func (m *Manager) formerHeld() clock.Instant {
-	longest := m.tookOver.Add(holdEnd(m.config.HoldMax))
+// formerGrantsEnd returns when all grants of former leaders are certain to have run out.
+func (m *Manager) formerGrantsEnd() clock.Instant {
+	longest := m.startedAt.Add(holdExpiry(m.config.HoldMax))
 	if m.config.HeldUntil != clock.Never {
 		return min(longest, m.config.HeldUntil)
 	}
 	return longest
 }
 
-// HeldUntil returns when everything that this manager, and others before it, has granted will
-// have run out, if no order is sent any more.
+// HeldUntil returns when all grants of this manager and of former leaders will have run out if no
+// more orders are sent.
 func (m *Manager) HeldUntil(now clock.Instant) clock.Instant {
-	held := m.formerHeld()
+	held := m.formerGrantsEnd()
 	if held < now {
 		held = now
 	}
 	for _, h := range m.holders {
 		held = held.Later(h.heldUntil)
-		if h.granting > 0 {
-			held = held.Later(now.Add(orderTime + holdEnd(m.longestSent)))
+		if h.grantsInFlight > 0 {
+			held = held.Later(now.Add(maxOrderTime + holdExpiry(m.longestHoldSent)))
 		}
 	}
 	return held
 }
 
-// holdWithin returns the longest hold of an order sent now that surely ends by heldUntil, however
-// late within its time the order takes effect.
+// holdWithin returns the longest hold of an order sent now that is certain to end by heldUntil,
+// even if the order takes maxOrderTime.
 func (h *holder) holdWithin(now clock.Instant) time.Duration {
-	left := h.heldUntil.Sub(now) - holdSlack - orderTime
+	left := h.heldUntil.Sub(now) - holdSlack - maxOrderTime
 	return time.Duration(float64(left) / (1 + clockTolerance))
 }
 
-func (m *Manager) noteHold(now clock.Instant, h *holder, o Order, outcome Outcome) {
+// recordHold extends heldUntil by the hold of an order that the target may have received.
+func (m *Manager) recordHold(now clock.Instant, h *holder, o Order, outcome Outcome) {
 	if o.Kind == Release {
 		return
 	}
-	h.granting--
+	h.grantsInFlight--
 	if outcome == Done || outcome == Unknown {
-		h.heldUntil = h.heldUntil.Later(now.Add(holdEnd(o.Hold)))
+		h.heldUntil = h.heldUntil.Later(now.Add(holdExpiry(o.Hold)))
 	}
 }
 
-// renewEvery is the time between renewals of a grant.
-func (m *Manager) renewEvery() time.Duration {
-	return min(renewLatest, max(renewSoonest, time.Duration(len(m.current.Ranges))*renewEach))
+// renewInterval returns the time between renewals of a grant.
+func (m *Manager) renewInterval() time.Duration {
+	return min(maxRenewInterval, max(minRenewInterval, time.Duration(len(m.current.Ranges))*renewIntervalPerRange))
 }
 
-// hold is how long a grant holds while the store answers.
-func (m *Manager) hold() time.Duration { return min(changeTime+m.renewEvery(), m.config.HoldMax) }
+// hold returns the hold of grants while the store is available.
+func (m *Manager) hold() time.Duration { return min(failoverTime+m.renewInterval(), m.config.HoldMax) }
 
-func (m *Manager) renew(now clock.Instant, hold time.Duration, r keyrange.Range, orders []Order) []Order {
-	p := piece{r.From, r.To, r.Fence}
+// appendRenewal appends a renewal of an owner's grant if one is due.
+func (m *Manager) appendRenewal(now clock.Instant, hold time.Duration, r keyrange.Range, orders []Order) []Order {
+	key := rangeKey{r.From, r.To, r.Fence}
 	h := m.holder(r.Owner)
-	state := m.renewals[p]
+	state := m.renewals[key]
 	if state == nil {
-		state = &renewal{at: clock.Never, heldAt: clock.Never}
-		m.renewals[p] = state
+		state = &renewal{sentAt: clock.Never, confirmedAt: clock.Never}
+		m.renewals[key] = state
 	}
-	if state.over {
+	if state.closed {
 		h.unverified = true
 		return orders
 	}
-	if state.underWay || h.ended || h.target.Address == "" || state.at != clock.Never && now.Sub(state.at) < m.renewEvery() {
+	if state.inFlight || h.ended || h.target.Address == "" || state.sentAt != clock.Never && now.Sub(state.sentAt) < m.renewInterval() {
 		return orders
 	}
 	if h.failing() {
 		hold = min(hold, h.holdWithin(now))
-		if hold < leastHold {
+		if hold < minHold {
 			return orders
 		}
 	}
-	state.underWay = true
-	state.at = now
-	h.granting++
-	o := m.order(now, Renew, r, h, r.Fence, hold, "")
-	o.ConnectedSince = state.heldAt
+	state.inFlight = true
+	state.sentAt = now
+	h.grantsInFlight++
+	o := m.newOrder(now, Renew, r, h, r.Fence, hold, "")
+	o.ConnectedSince = state.confirmedAt
 	return append(orders, o)
 }
 
-// renewed notes the outcome of a renewal. One that meets a higher fence is asked for again
-// by way of a move to the same owner, which raises the fence.
-func (m *Manager) renewed(o Order, h *holder, outcome Outcome) {
-	p := piece{o.From, o.To, o.Fence}
-	r := m.renewals[p]
+// recordRenewal records the outcome of a renewal. If the target has seen a higher fence, the range
+// is moved to the same owner, which raises the fence.
+func (m *Manager) recordRenewal(o Order, h *holder, outcome Outcome) {
+	key := rangeKey{o.From, o.To, o.Fence}
+	r := m.renewals[key]
 	if r == nil {
 		return
 	}
-	r.underWay = false
+	r.inFlight = false
 	switch outcome {
 	case Done:
-		r.heldAt = o.SentAt
-		if o.Hold < changeTime {
-			// The target answers again: it gets its usual hold at once.
-			r.at = clock.Never
+		r.confirmedAt = o.SentAt
+		if o.Hold < failoverTime {
+			// The target answers again after short holds: it gets the usual hold at once.
+			r.sentAt = clock.Never
 		}
 	case HigherFence:
-		r.over = true
-		m.moves[p] = &move{refused: true}
+		r.closed = true
+		m.moves[key] = &move{refused: true}
 	case Unverified:
 		h.unverified = true
 	case Unknown:
-		r.over = o.ConnectedSince == clock.Never
+		r.closed = o.ConnectedSince == clock.Never
 	}
 }
 
-// inherit gives pieces that were cut out of others, or joined from them, under the same fence
-// what is known of the last renewal of those.
-func (m *Manager) inherit(live map[piece]bool) {
-	former := map[uint64][]piece{}
-	for p := range m.renewals {
-		if !live[p] {
-			former[p.fence] = append(former[p.fence], p)
+// inheritRenewals gives ranges that were split from others, or merged from them, under the same
+// fence, the state of their last renewal. The parameter live holds all ranges of the new map.
+func (m *Manager) inheritRenewals(live map[rangeKey]bool) {
+	former := map[uint64][]rangeKey{}
+	for key := range m.renewals {
+		if !live[key] {
+			former[key.fence] = append(former[key.fence], key)
 		}
 	}
-	for p := range live {
-		if m.renewals[p] != nil {
+	for key := range live {
+		if m.renewals[key] != nil {
 			continue
 		}
-		for _, q := range former[p.fence] {
-			if q.from <= p.to && p.from <= q.to {
-				m.renewals[p] = m.renewals[q].passedOn(m.renewals[p])
+		for _, old := range former[key.fence] {
+			if old.from <= key.to && key.from <= old.to {
+				m.renewals[key] = m.renewals[old].inherit(m.renewals[key])
 			}
 		}
 	}
 }
 
-// passedOn returns the state for another piece under the same fence, of which earlier is known
-// already from a part of it. The answer to an order that is under way concerns a piece that is no
-// more.
-func (r *renewal) passedOn(earlier *renewal) *renewal {
-	next := &renewal{at: r.at, heldAt: r.heldAt, over: r.over || r.at != clock.Never && r.heldAt == clock.Never}
+// inherit returns the state for another range under the same fence. The parameter earlier is the
+// state that another part of that range gave it; nil if none did. If orders were sent and none was
+// confirmed, the new state is closed. An order in flight is not inherited: its outcome concerns a
+// range that no longer exists.
+func (r *renewal) inherit(earlier *renewal) *renewal {
+	next := &renewal{sentAt: r.sentAt, confirmedAt: r.confirmedAt, closed: r.closed || r.sentAt != clock.Never && r.confirmedAt == clock.Never}
 	if earlier != nil {
-		next.at = min(next.at, earlier.at)
-		next.heldAt = min(next.heldAt, earlier.heldAt)
-		next.over = next.over || earlier.over
+		next.sentAt = min(next.sentAt, earlier.sentAt)
+		next.confirmedAt = min(next.confirmedAt, earlier.confirmedAt)
+		next.closed = next.closed || earlier.closed
 	}
 	return next
 }
 
-// RenewAll makes all renewals due.
+// RenewAll makes the renewals of all grants due.
 func (m *Manager) RenewAll() {
 	for _, r := range m.renewals {
-		r.at = clock.Never
+		r.sentAt = clock.Never
 	}
 }
--- a/coordination/assign/schedules_test.go
+++ b/coordination/assign/schedules_test.go
@@ -16,28 +16,33 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// fakeTarget enforces grants as targets do, for a few keys. Its clock may run slow.
+// fakeTarget enforces grants as targets do, for the sampled keys. Its clock may run slow.
 type fakeTarget struct {
 	id   string
 	up   bool
 	born clock.Instant
+	// rate is the factor by which holds last longer because of the slow clock.
 	rate float64
 	held map[uint16]hold
-	// forgetful is a fault that is planted: it takes grants under fences it has seen raised.
-	forgetful bool
-	// stoppedUntil is when it goes on after it was stopped; until then it reads nothing.
+	// forgetsFences makes the target accept grants under a lower fence than it has seen: a fault
+	// that the simulation must detect.
+	forgetsFences bool
+	// stoppedUntil is when the stopped process continues; until then it reads nothing.
 	stoppedUntil clock.Instant
-	// fromReading is a fault that is planted: it counts holds from when it reads a grant.
-	fromReading bool
+	// countsFromRead makes the target count a hold from when it reads the grant instead of from the
+	// grant's arrival: a fault that the simulation must detect.
+	countsFromRead bool
 }
 
+// hold is what a fakeTarget knows about a key: the fence of its grant, the highest fence seen, and
+// when the grant runs out.
 type hold struct {
 	fence, seen uint64
 	until       clock.Instant
 }
 
-// watched are the keys that the schedules look at.
-var watched = func() []uint16 {
+// sampledKeys are the keys that the simulation checks.
+var sampledKeys = func() []uint16 {
 	var keys []uint16
 	for key := 0; key <= keyrange.MaxKey; key += 1021 {
 		keys = append(keys, uint16(key))
@@ -45,13 +50,14 @@
 	return keys
 }()
 
+// apply carries out an order and returns its outcome.
 func (f *fakeTarget) apply(now clock.Instant, o Order) Outcome {
-	for _, key := range watched {
-		if key >= o.From && key <= o.To && o.Kind != Release && f.held[key].seen > o.Fence && !f.forgetful {
+	for _, key := range sampledKeys {
+		if key >= o.From && key <= o.To && o.Kind != Release && f.held[key].seen > o.Fence && !f.forgetsFences {
 			return HigherFence
 		}
 	}
-	for _, key := range watched {
+	for _, key := range sampledKeys {
 		if key < o.From || key > o.To {
 			continue
 		}
@@ -67,257 +73,267 @@
 	return Done
 }
 
-// world runs managers against targets under a random schedule of mishaps, in virtual time.
-// It shares no code with the manager but the types of orders.
-type world struct {
+// simulation runs managers against fake targets under a random schedule of faults, in virtual time.
+// It shares no code with the manager except the types of orders.
+type simulation struct {
 	random *rand.Rand
 	now    clock.Instant
-	// targets holds all processes by ID, called the last one of each name.
+	// targets holds all processes by ID, byName the last process of each name.
 	targets map[string]*fakeTarget
-	called  map[string]*fakeTarget
+	byName  map[string]*fakeTarget
 	listed  map[string]view.Target
-	born    int
-	// highest is the highest fence that each key was granted under, and to whom.
+	// born is the number of targets added.
+	born int
+	// highest is the highest fence under which each key was granted, and to which target.
 	highest map[uint16]granted
-	// stored is what the store holds; leader is who may write it.
-	stored   *keyrange.Map
-	leader   *Manager
-	former   *Manager
-	formerTo clock.Instant
-	events   []event
-	seen     map[uint16]uint64
-	broken   string
-	// stopping says that targets are stopped and go on at times.
+	// stored is the map in the store; only leader may change it.
+	stored *keyrange.Map
+	leader *Manager
+	// former is the former leader, which goes on sending orders until formerUntil.
+	former      *Manager
+	formerUntil clock.Instant
+	events      []event
+	seen        map[uint16]uint64
+	// violation describes the first violated invariant; empty if there is none.
+	violation string
+	// stopping is set when targets are stopped, and continue later, at random.
 	stopping bool
 }
 
+// granted is a fence and the target that got a grant under it.
 type granted struct {
 	fence uint64
 	to    string
 }
 
+// event is an action at a time.
 type event struct {
 	at clock.Instant
 	do func()
 }
 
-func newWorld(seed uint64, forgetful bool) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 1)), now: start, targets: map[string]*fakeTarget{}, called: map[string]*fakeTarget{}, highest: map[uint16]granted{},
+// newSimulation returns a simulation with four targets.
+func newSimulation(seed uint64, forgetful bool) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(seed, 1)), now: start, targets: map[string]*fakeTarget{}, byName: map[string]*fakeTarget{}, highest: map[uint16]granted{},
 		listed: map[string]view.Target{}, stored: keyrange.Empty(), seen: map[uint16]uint64{},
 	}
 	for range 4 {
-		w.birth(fmt.Sprintf("address-%d", w.born), forgetful)
+		s.addTarget(fmt.Sprintf("address-%d", s.born), forgetful)
 	}
-	w.leader = NewManager(config, nil, w.now)
-	return w
+	s.leader = NewManager(config, nil, s.now)
+	return s
 }
 
-func (w *world) birth(address string, forgetful bool) {
-	w.born++
-	t := w.start(fmt.Sprintf("t%d", w.born), address, forgetful)
-	w.listed[t.ID] = t
+// addTarget starts a target under a new name and lists it.
+func (s *simulation) addTarget(address string, forgetful bool) {
+	s.born++
+	t := s.startProcess(fmt.Sprintf("t%d", s.born), address, forgetful)
+	s.listed[t.ID] = t
 }
 
-// start starts a process under a name, which may have been another's.
-func (w *world) start(name, address string, forgetful bool) view.Target {
-	id := view.TargetID(name, int64(w.now))
-	w.targets[id] = &fakeTarget{id: id, up: true, born: w.now, rate: 1 + 0.02*w.random.Float64(), held: map[uint16]hold{}, forgetful: forgetful}
-	w.called[name] = w.targets[id]
+// startProcess starts a process under a name, which a former process may have had.
+func (s *simulation) startProcess(name, address string, forgetful bool) view.Target {
+	id := view.TargetID(name, int64(s.now))
+	s.targets[id] = &fakeTarget{id: id, up: true, born: s.now, rate: 1 + 0.02*s.random.Float64(), held: map[uint16]hold{}, forgetsFences: forgetful}
+	s.byName[name] = s.targets[id]
 	t := target(id)
 	t.Address = address
 	return t
 }
 
-// listedIDs returns the listed targets in an order that is the same each time.
-func (w *world) listedIDs() []string { return slices.Sorted(maps.Keys(w.listed)) }
+// listedIDs returns the IDs of the listed targets, sorted.
+func (s *simulation) listedIDs() []string { return slices.Sorted(maps.Keys(s.listed)) }
 
-func (w *world) later(most time.Duration, do func()) {
-	w.events = append(w.events, event{w.now.Add(time.Duration(w.random.Int64N(int64(most)))), do})
+// scheduleWithin schedules an action at a random time within the given duration.
+func (s *simulation) scheduleWithin(limit time.Duration, do func()) {
+	s.events = append(s.events, event{s.now.Add(time.Duration(s.random.Int64N(int64(limit)))), do})
 }
 
-// mishap lets something go wrong.
-func (w *world) mishap() {
+// injectFault injects a random fault or change at a random target.
+func (s *simulation) injectFault() {
 	var ids []string
-	for _, id := range w.listedIDs() {
-		if w.targets[id].up {
+	for _, id := range s.listedIDs() {
+		if s.targets[id].up {
 			ids = append(ids, id)
 		}
 	}
 	if len(ids) == 0 {
 		return
 	}
-	id := ids[w.random.IntN(len(ids))]
-	t := w.listed[id]
-	if w.stopping && w.random.IntN(2) == 0 {
-		w.targets[id].stoppedUntil = w.now.Add(time.Duration(w.random.Int64N(int64(longestStop))))
+	id := ids[s.random.IntN(len(ids))]
+	t := s.listed[id]
+	if s.stopping && s.random.IntN(2) == 0 {
+		s.targets[id].stoppedUntil = s.now.Add(time.Duration(s.random.Int64N(int64(maxStop))))
 		return
 	}
-	switch w.random.IntN(7) {
+	switch s.random.IntN(7) {
 	case 5, 6:
-		// A crash, and a new start under the same name, which the registry shows a while later.
-		w.targets[id].up = false
-		next := w.start(view.TargetName(id), t.Address, w.targets[id].forgetful)
-		w.later(1200*time.Millisecond, func() {
-			if _, listed := w.listed[id]; listed {
-				delete(w.listed, id)
-				w.listed[next.ID] = next
+		// A crash and a restart under the same name, which the registry shows later.
+		s.targets[id].up = false
+		next := s.startProcess(view.TargetName(id), t.Address, s.targets[id].forgetsFences)
+		s.scheduleWithin(1200*time.Millisecond, func() {
+			if _, listed := s.listed[id]; listed {
+				delete(s.listed, id)
+				s.listed[next.ID] = next
 			}
 		})
 	case 0:
-		// A crash, and a new life at the same address.
-		// Its entry lapses later.
-		w.targets[id].up = false
-		w.later(3*time.Second, func() { delete(w.listed, id) })
-		w.birth(t.Address, w.targets[id].forgetful)
+		// A crash, and a new target at the same address. The entry of the crashed one lapses later.
+		s.targets[id].up = false
+		s.scheduleWithin(3*time.Second, func() { delete(s.listed, id) })
+		s.addTarget(t.Address, s.targets[id].forgetsFences)
 	case 1:
-		// Cut from the registry, but alive and renewed.
-		delete(w.listed, id)
-		w.later(4*time.Second, func() {
-			if w.called[view.TargetName(id)].id == id {
-				w.listed[id] = t
+		// The target is cut off from the registry, but still runs and gets renewals.
+		delete(s.listed, id)
+		s.scheduleWithin(4*time.Second, func() {
+			if s.byName[view.TargetName(id)].id == id {
+				s.listed[id] = t
 			}
 		})
 	case 2:
-		w.listed[id] = draining(t)
-		w.later(5*time.Second, func() {
-			delete(w.listed, id)
-			w.later(3*time.Second, func() { w.targets[id].up = false })
+		s.listed[id] = draining(t)
+		s.scheduleWithin(5*time.Second, func() {
+			delete(s.listed, id)
+			s.scheduleWithin(3*time.Second, func() { s.targets[id].up = false })
 		})
-		w.birth(fmt.Sprintf("address-%d", w.born+10), w.targets[id].forgetful)
+		s.addTarget(fmt.Sprintf("address-%d", s.born+10), s.targets[id].forgetsFences)
 	case 3:
-		// Another instance leads. The former one goes on sending for a moment.
-		w.former, w.formerTo = w.leader, w.now.Add(lease.SafetyMargin)
-		w.stored = w.stored.WithRaisedFences(0)
-		w.leader = NewManager(config, w.stored, w.now)
+		// Another instance becomes leader. The former leader goes on sending for a short time.
+		s.former, s.formerUntil = s.leader, s.now.Add(lease.SafetyMargin)
+		s.stored = s.stored.WithRaisedFences(0)
+		s.leader = NewManager(config, s.stored, s.now)
 	case 4:
 		load := &keyrange.Load{}
-		from := w.random.IntN(60000)
+		from := s.random.IntN(60000)
 		for key := from; key < from+3000; key++ {
 			load[key] = 0.004
 		}
-		w.leader.SetLoad(load, nil)
+		s.leader.SetLoad(load, nil)
 	}
 }
 
-// longestStop bounds the time for which a target is stopped. It is more than a hold.
-const longestStop = 8 * time.Second
+// maxStop is the longest time for which a target is stopped. It is longer than a hold.
+const maxStop = 8 * time.Second
 
-// deliverLate has a stopped target read an order when it goes on; nobody answers it before.
-func (w *world) deliverLate(m *Manager, f *fakeTarget, o Order) {
-	came := w.now
-	w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
-	w.events = append(w.events, event{f.stoppedUntil, func() {
+// deliverLate lets a stopped target read an order when it continues. The order gets no answer in
+// time.
+func (s *simulation) deliverLate(m *Manager, f *fakeTarget, o Order) {
+	arrivedAt := s.now
+	s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
+	s.events = append(s.events, event{f.stoppedUntil, func() {
 		if !f.up {
 			return
 		}
-		if !f.fromReading {
-			o.Hold = max(0, o.Hold-w.now.Sub(came))
+		if !f.countsFromRead {
+			o.Hold = max(0, o.Hold-s.now.Sub(arrivedAt))
 		}
-		f.apply(w.now, o)
+		f.apply(s.now, o)
 	}})
 }
 
-// send lets an order reach its target, be lost, have its answer lost, or come late.
-func (w *world) send(m *Manager, o Order) {
-	f := w.called[view.TargetName(o.Target)]
-	if f != nil && f.up && w.now < f.stoppedUntil {
-		w.deliverLate(m, f, o)
+// send delivers an order to its target, loses it, loses its answer, or delivers it late, at random.
+func (s *simulation) send(m *Manager, o Order) {
+	f := s.byName[view.TargetName(o.Target)]
+	if f != nil && f.up && s.now < f.stoppedUntil {
+		s.deliverLate(m, f, o)
 		return
 	}
-	switch chance := w.random.IntN(100); {
+	switch chance := s.random.IntN(100); {
 	case o.ConnectedSince != clock.Never && (f == nil || f.born > o.ConnectedSince || chance < 2):
-		// Connections end with the process, and at times without.
-		w.later(30*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unverified, "") })
+		// Connections end with the process, and at times without reason.
+		s.scheduleWithin(30*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unverified, "") })
 	case f == nil || !f.up:
-		w.later(300*time.Millisecond, func() { m.RecordOutcome(w.now, o, NotSent, "") })
+		s.scheduleWithin(300*time.Millisecond, func() { m.RecordOutcome(s.now, o, NotSent, "") })
 	case chance < 4:
-		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, NotSent, "") })
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, NotSent, "") })
 	case chance < 8:
-		w.apply(f, o)
-		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
+		s.apply(f, o)
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
 	case chance < 11 && o.Kind != Release:
-		// Carried out late; its time counts from when it came.
-		came := w.now
-		w.later(700*time.Millisecond, func() { m.RecordOutcome(w.now, o, Unknown, "") })
-		w.later(9*time.Second, func() {
+		// Carried out late; the hold counts from the arrival.
+		arrivedAt := s.now
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
+		s.scheduleWithin(9*time.Second, func() {
 			late := o
-			late.Hold = o.Hold - w.now.Sub(came)
+			late.Hold = o.Hold - s.now.Sub(arrivedAt)
 			if late.Hold > 0 && f.up {
-				f.apply(w.now, late)
+				f.apply(s.now, late)
 			}
 		})
 	default:
-		w.later(30*time.Millisecond, func() {
+		s.scheduleWithin(30*time.Millisecond, func() {
 			outcome := OtherTarget
 			switch {
 			case f.up:
-				outcome = w.apply(f, o)
-			case w.called[view.TargetName(o.Target)] != f:
-				// The connection broke; the process that has the name now does not refuse it.
+				outcome = s.apply(f, o)
+			case s.byName[view.TargetName(o.Target)] != f:
+				// The connection broke. The new process of that name does not refuse the order.
 				outcome = Unknown
 			}
-			w.later(30*time.Millisecond, func() { m.RecordOutcome(w.now, o, outcome, "h") })
+			s.scheduleWithin(30*time.Millisecond, func() { m.RecordOutcome(s.now, o, outcome, "h") })
 		})
 	}
 }
 
-// apply carries out an order that was not held up, and looks at its fence.
-func (w *world) apply(f *fakeTarget, o Order) Outcome {
-	outcome := f.apply(w.now, o)
-	for _, key := range watched {
+// apply carries out an order that was not delayed, and checks that a key is not granted to another
+// target under a fence that is not above all former ones.
+func (s *simulation) apply(f *fakeTarget, o Order) Outcome {
+	outcome := f.apply(s.now, o)
+	for _, key := range sampledKeys {
 		if outcome != Done || o.Kind == Release || key < o.From || key > o.To {
 			continue
 		}
-		top := w.highest[key]
-		if top.to != "" && top.to != f.id && o.Fence <= top.fence {
-			w.broken = fmt.Sprintf("%v: %s takes key %d under fence %d, under which %s has had it", w.now.Sub(start), f.id, key, o.Fence, top.to)
+		highest := s.highest[key]
+		if highest.to != "" && highest.to != f.id && o.Fence <= highest.fence {
+			s.violation = fmt.Sprintf("%v: %s accepts key %d under fence %d, which is not above the fence under which %s had it", s.now.Sub(start), f.id, key, o.Fence, highest.to)
 		}
-		if o.Fence >= top.fence {
-			w.highest[key] = granted{o.Fence, f.id}
+		if o.Fence >= highest.fence {
+			s.highest[key] = granted{o.Fence, f.id}
 		}
 	}
 	return outcome
 }
 
-func (w *world) drive(m *Manager) {
-	list := make([]view.Target, 0, len(w.listed))
-	for _, id := range w.listedIDs() {
-		list = append(list, w.listed[id])
+// runManager passes the list of targets to a manager and sends the orders that are due.
+func (s *simulation) runManager(m *Manager) {
+	list := make([]view.Target, 0, len(s.listed))
+	for _, id := range s.listedIDs() {
+		list = append(list, s.listed[id])
 	}
-	m.SetTargets(w.now, list)
-	for _, o := range m.Tick(w.now, false) {
-		w.send(m, o)
+	m.SetTargets(s.now, list)
+	for _, o := range m.Tick(s.now, false) {
+		s.send(m, o)
 	}
 }
 
-// commit stores a proposal of the leading manager. The answer may be lost, and the change
-// may not have been made.
-func (w *world) commit() {
-	m := w.leader
-	p := m.Propose(w.now)
+// storeProposal stores a proposal of the leader. The answer may be lost, and the change may not
+// have been made.
+func (s *simulation) storeProposal() {
+	m := s.leader
+	p := m.Propose(s.now)
 	if p == nil {
 		return
 	}
-	w.later(20*time.Millisecond, func() {
-		if w.leader != m {
-			// The lease has another version: the condition does not hold.
+	s.scheduleWithin(20*time.Millisecond, func() {
+		if s.leader != m {
+			// The write is conditional on the lease's version, which has changed.
 			return
 		}
-		chance := w.random.IntN(100)
+		chance := s.random.IntN(100)
 		if chance < 95 {
-			w.stored = p
+			s.stored = p
 		}
 		if chance < 90 {
 			m.Stored(p)
 			return
 		}
-		w.later(500*time.Millisecond, func() {
-			if w.leader != m {
+		s.scheduleWithin(500*time.Millisecond, func() {
+			if s.leader != m {
 				return
 			}
-			if w.stored.Version == p.Version {
-				m.Stored(w.stored)
+			if s.stored.Version == p.Version {
+				m.Stored(s.stored)
 			} else {
 				m.NotStored()
 			}
@@ -325,18 +341,17 @@
 	})
 }
 
-// check looks for keys that two targets hold at the same moment, and for fences that do not
-// grow from one holder to the next.
-func (w *world) check() {
-	for _, key := range watched {
+// checkExclusive checks that no two targets hold the same key at the same time.
+func (s *simulation) checkExclusive() {
+	for _, key := range sampledKeys {
 		holder := ""
-		for _, f := range w.targets {
+		for _, f := range s.targets {
 			h := f.held[key]
-			if !f.up || h.until <= w.now {
+			if !f.up || h.until <= s.now {
 				continue
 			}
 			if holder != "" {
-				w.broken = fmt.Sprintf("%v: %s and %s hold key %d", w.now.Sub(start), holder, f.id, key)
+				s.violation = fmt.Sprintf("%v: %s and %s hold key %d", s.now.Sub(start), holder, f.id, key)
 				return
 			}
 			holder = f.id
@@ -344,34 +359,35 @@
 	}
 }
 
+// step is the time between two steps of the simulation.
 const step = 10 * time.Millisecond
 
-// run plays a schedule and returns what was broken.
-func (w *world) run(length time.Duration) string {
-	nextMishap := w.now.Add(3 * time.Second)
-	for end := w.now.Add(length); w.now < end && w.broken == ""; w.now = w.now.Add(step) {
-		w.happen()
-		if w.now >= nextMishap {
-			w.mishap()
-			nextMishap = w.now.Add(time.Duration(w.random.Int64N(int64(3 * time.Second))))
+// run runs the simulation for the given time and returns the violation, if any.
+func (s *simulation) run(length time.Duration) string {
+	nextFault := s.now.Add(3 * time.Second)
+	for end := s.now.Add(length); s.now < end && s.violation == ""; s.now = s.now.Add(step) {
+		s.runDueEvents()
+		if s.now >= nextFault {
+			s.injectFault()
+			nextFault = s.now.Add(time.Duration(s.random.Int64N(int64(3 * time.Second))))
 		}
-		w.drive(w.leader)
-		if w.former != nil && w.now < w.formerTo {
-			w.drive(w.former)
+		s.runManager(s.leader)
+		if s.former != nil && s.now < s.formerUntil {
+			s.runManager(s.former)
 		}
-		w.commit()
-		w.check()
+		s.storeProposal()
+		s.checkExclusive()
 	}
-	return w.broken
+	return s.violation
 }
 
-// unserved counts the watched keys without a holder.
-func (w *world) unserved() int {
+// unserved returns the number of sampled keys that no target holds.
+func (s *simulation) unserved() int {
 	count := 0
-	for _, key := range watched {
+	for _, key := range sampledKeys {
 		held := false
-		for _, f := range w.targets {
-			held = held || f.up && f.held[key].until > w.now
+		for _, f := range s.targets {
+			held = held || f.up && f.held[key].until > s.now
 		}
 		if !held {
 			count++
@@ -380,61 +396,61 @@
 	return count
 }
 
-// schedules is the number of random schedules that CI plays.
-const schedules = 40
+// scheduleCount is the number of random schedules that each spec runs.
+const scheduleCount = 40
 
-var _ = ginkgo.Describe("ownership under random mishaps", func() {
-	// Symptom: two targets run work for the same key. Sequence: crashes, new lives, targets
-	// cut off, draining, changes of the leading instance, orders lost, unanswered and late,
-	// changes of unknown outcome, in random order.
+var _ = ginkgo.Describe("ownership under random faults", func() {
+	// Guards against two targets that run work for the same key. The schedules contain, in random
+	// order: crashes, restarts, targets cut off from the registry, draining, changes of the leader,
+	// orders that are lost, unanswered or late, and changes of the map with an unknown outcome.
 	ginkgo.It("is exclusive, and every key is served again in the end", func() {
-		for seed := range uint64(schedules) {
-			w := newWorld(seed, false)
-			Expect(w.run(40*time.Second)).To(BeEmpty(), "seed %d", seed)
-			calm := w.now.Add(15 * time.Second)
-			for w.now < calm && w.broken == "" {
-				w.quiet()
+		for seed := range uint64(scheduleCount) {
+			s := newSimulation(seed, false)
+			Expect(s.run(40*time.Second)).To(BeEmpty(), "seed %d", seed)
+			settled := s.now.Add(15 * time.Second)
+			for s.now < settled && s.violation == "" {
+				s.stepWithoutFaults()
 			}
-			Expect(w.broken).To(BeEmpty(), "seed %d, in the calm", seed)
-			// A planned move may be under way at any one moment.
-			for late := w.now.Add(5 * time.Second); w.now < late && w.unserved() > 0; {
-				w.quiet()
+			Expect(s.violation).To(BeEmpty(), "seed %d, after the last fault", seed)
+			// A planned move may be in progress at any one time.
+			for late := s.now.Add(5 * time.Second); s.now < late && s.unserved() > 0; {
+				s.stepWithoutFaults()
 			}
-			Expect(w.unserved()).To(BeZero(), "seed %d", seed)
+			Expect(s.unserved()).To(BeZero(), "seed %d", seed)
 		}
 	})
 
-	// Symptom: a target begins work under a fence after another has begun work for the same key
-	// under a higher one. Sequence: a target is stopped, a renewal reaches its machine, its hold
-	// runs out, its keys are given to another, it goes on and reads the renewal. Ownership rests
-	// on the hold being counted from the arrival; the second test shows that it does.
-	ginkgo.It("is exclusive where targets are stopped and read orders when they go on", func() {
-		for seed := range uint64(schedules) {
-			w := newWorld(seed, false)
-			w.stopping = true
-			Expect(w.run(40*time.Second)).To(BeEmpty(), "seed %d", seed)
+	// Guards against a target that begins work under a fence after another target has begun work
+	// for the same key under a higher one. A target is stopped, a renewal reaches its machine, its
+	// hold runs out, its keys are moved to another target, and it continues and reads the renewal.
+	// Exclusive ownership depends on counting the hold from the arrival, as the next spec shows.
+	ginkgo.It("is exclusive if targets are stopped and read orders when they continue", func() {
+		for seed := range uint64(scheduleCount) {
+			s := newSimulation(seed, false)
+			s.stopping = true
+			Expect(s.run(40*time.Second)).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
-	ginkgo.It("is seen to be broken by stopped targets that count a hold from its reading", func() {
+	ginkgo.It("is not exclusive with stopped targets that count a hold from when they read the grant (shows that the simulation detects it)", func() {
 		found := 0
-		for seed := range uint64(schedules) {
-			w := newWorld(seed, false)
-			w.stopping = true
-			for _, f := range w.targets {
-				f.fromReading = true
+		for seed := range uint64(scheduleCount) {
+			s := newSimulation(seed, false)
+			s.stopping = true
+			for _, f := range s.targets {
+				f.countsFromRead = true
 			}
-			if w.run(40*time.Second) != "" {
+			if s.run(40*time.Second) != "" {
 				found++
 			}
 		}
 		Expect(found).To(BeNumerically(">", 0))
 	})
 
-	ginkgo.It("is seen to be broken by targets that forget fences", func() {
+	ginkgo.It("is not exclusive with targets that forget fences (shows that the simulation detects it)", func() {
 		found := 0
-		for seed := range uint64(schedules) {
-			if newWorld(seed, true).run(40*time.Second) != "" {
+		for seed := range uint64(scheduleCount) {
+			if newSimulation(seed, true).run(40*time.Second) != "" {
 				found++
 			}
 		}
@@ -442,24 +458,24 @@
 	})
 })
 
-// happen plays what is due.
-func (w *world) happen() {
-	due := w.events
-	w.events = nil
+// runDueEvents runs the events that are due.
+func (s *simulation) runDueEvents() {
+	due := s.events
+	s.events = nil
 	for _, e := range due {
-		if e.at <= w.now {
+		if e.at <= s.now {
 			e.do()
 		} else {
-			w.events = append(w.events, e)
+			s.events = append(s.events, e)
 		}
 	}
 }
 
-// quiet lets a moment pass in which nothing new goes wrong.
-func (w *world) quiet() {
-	w.happen()
-	w.drive(w.leader)
-	w.commit()
-	w.check()
-	w.now = w.now.Add(step)
+// stepWithoutFaults advances the simulation by one step without a new fault.
+func (s *simulation) stepWithoutFaults() {
+	s.runDueEvents()
+	s.runManager(s.leader)
+	s.storeProposal()
+	s.checkExclusive()
+	s.now = s.now.Add(step)
 }
--- a/coordination/assign/types.go
+++ b/coordination/assign/types.go
@@ -8,79 +8,89 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// Times of the assignment.
+// Durations and intervals of the assignment.
 const (
-	// changeTime is the longest time without a leading instance after one was killed: a lease
-	// of 2 s that followers have known for up to 0.35 s less, looks at it and a bid.
-	changeTime = 3 * time.Second
-	// renewSoonest and renewLatest bound the time between renewals of a grant, which is
-	// renewEach for each range, so that a leading instance sends no more than 625 renewals a
-	// second for up to 625 ranges. A grant holds for changeTime beyond that, which bounds the time
-	// for which the keys of a crashed target stay unserved.
-	renewSoonest = 500 * time.Millisecond
-	renewLatest  = time.Second
-	renewEach    = 1600 * time.Microsecond
-	// holdSlack is added to a hold that must have run out, for the time that a grant may
-	// have been on its way.
+	// failoverTime is the longest time without a leader after the leader was killed: the lease of
+	// 2 s, of whose last renewal followers learn up to 0.35 s late, plus the polling of the lease
+	// and the attempt to take it.
+	failoverTime = 3 * time.Second
+	// The time between two renewals of a grant is renewIntervalPerRange for each range of the map,
+	// but not less than minRenewInterval and not more than maxRenewInterval: the leader sends at
+	// most 625 renewals a second for up to 625 ranges. A grant holds for failoverTime longer than
+	// this interval. That bounds how long the keys of a crashed target stay unserved.
+	minRenewInterval      = 500 * time.Millisecond
+	maxRenewInterval      = time.Second
+	renewIntervalPerRange = 1600 * time.Microsecond
+	// holdSlack is added to a hold that must have run out, for the time that the grant may have
+	// taken to arrive.
 	holdSlack = 200 * time.Millisecond
-	// clockTolerance is the part by which a target's clock may run slow.
+	// clockTolerance is the fraction by which a target's clock may run slow.
 	clockTolerance = 0.02
-	// orderTime is the longest time from the sending of a grant to its outcome: a turn, a
-	// connection and the answer.
-	orderTime = 1300 * time.Millisecond
-	// leastHold is the shortest hold that is worth an order. A target that does not answer is
-	// renewed only as far as it would hold its keys anyhow: each renewal that it may have got
-	// would otherwise put off the time at which they can be given to another.
-	leastHold = 300 * time.Millisecond
+	// maxOrderTime is the longest time from when a grant is due to its outcome: waiting for its
+	// turn, connecting, and the answer.
+	maxOrderTime = 1300 * time.Millisecond
+	// minHold is the shortest hold for which an order is sent. The grants of a target that does not
+	// answer are renewed only up to the time at which all it may have been granted has run out:
+	// each renewal that it may have received would otherwise delay moving its keys to another
+	// target.
+	minHold = 300 * time.Millisecond
 	// lostAfter is how long a target must have failed to answer orders before its keys are
-	// given to others. One order timeout is not enough: targets are slow at times.
+	// reassigned. A single timeout is not enough: targets are slow at times.
 	lostAfter = 1200 * time.Millisecond
-	// retryAfter is the pause before an order without an answer is sent again.
+	// retryAfter is the pause before an unanswered order is sent again.
 	retryAfter = 250 * time.Millisecond
-	// anewEvery is the least time between new fences for a target that may have been started
-	// again. One that resets each connection at once would have a change of the map stored with
-	// each try.
-	anewEvery = 500 * time.Millisecond
-	// balanceSoonest and balanceLatest bound the time between looks at the balance, which is
-	// balanceEach for each target that takes keys. Looking twice as often is worth 0.003 to 0.011
-	// where one key is hot among 19 or 25 targets. Of hundreds, a quarter may move keys at a time,
-	// and each look costs calls to the store.
-	balanceSoonest = 350 * time.Millisecond
-	balanceLatest  = 700 * time.Millisecond
-	balanceEach    = 10 * time.Millisecond
-	// settleFor is how long the first targets of a service are awaited, so that they do not
-	// all have to move at once as others come.
-	settleFor = 700 * time.Millisecond
-	// forgiveAfter is how long a target without keys is given none after it failed to answer
-	// an order; nothing else would show that it answers again.
-	forgiveAfter = 2 * time.Second
+	// regrantInterval is the least time between two raises of the fences of a target that may have
+	// been restarted. Without it, a target that resets each connection at once would cause a change
+	// of the map with each attempt.
+	regrantInterval = 500 * time.Millisecond
+	// The time between two attempts to balance the load is balanceIntervalPerTarget for each target
+	// that takes keys, but not less than minBalanceInterval and not more than maxBalanceInterval.
+	// With few targets, frequent attempts help when a single key is hot. With hundreds of targets,
+	// a quarter may move keys at a time, and each attempt costs calls to the store.
+	minBalanceInterval       = 350 * time.Millisecond
+	maxBalanceInterval       = 700 * time.Millisecond
+	balanceIntervalPerTarget = 10 * time.Millisecond
+	// startupWait is how long the first keys of a service are held back after its first target was
+	// listed, and those of unlisted owners after the leader took over. Otherwise all keys would go
+	// to the first targets and would have to move again as others are listed.
+	startupWait = 700 * time.Millisecond
+	// failureExpiry is how long a target that failed to answer an order and has no keys gets none.
+	// After that it is tried again: a target without keys gets no other orders that would show that
+	// it answers.
+	failureExpiry = 2 * time.Second
 )
 
-// Kind is what an order asks of a target.
+// Kind is the kind of an order.
 type Kind string
 
-// The kinds of order.
+// The kinds of orders.
 const (
-	Grant   Kind = "grant"
-	Renew   Kind = "renew"
+	// Grant gives keys to a target.
+	Grant Kind = "grant"
+	// Renew extends the hold of a grant.
+	Renew Kind = "renew"
+	// Release asks a target to give keys up.
 	Release Kind = "release"
 )
 
-// Order asks a target to take, keep or give up keys.
+// Order asks a target to take, keep or give up the keys From..To.
 type Order struct {
-	Kind     Kind
-	Service  string
+	Kind    Kind
+	Service string
+	// Target is the ID of the target, Address where it is reached.
 	Target   string
 	Address  string
 	From, To uint16
 	Fence    uint64
-	Hold     time.Duration
+	// Hold is how long the target may own the keys, counted from when the order arrives.
+	Hold time.Duration
+	// Handover is what the former owner sent when it released the keys.
 	Handover string
-	// SentAt is when it was sent, over a connection that was open by then.
+	// SentAt is when the order was sent, over a connection that was open by then.
 	SentAt clock.Instant
-	// ConnectedSince asks for a connection that was open then already: the target had the keys at that
-	// time, and whoever answers over such a connection is the same process. clock.Never: any
-	// connection will do.
+	// ConnectedSince requires a connection that has been open since that time: the target had the
+	// keys then, and over such a connection the same process answers. clock.Never allows any
+	// connection.
 	ConnectedSince clock.Instant
 }
 
@@ -89,105 +99,120 @@
 
 // The outcomes of orders.
 const (
-	// Done: the target answered that it did it.
+	// Done: the target answered that it carried out the order.
 	Done Outcome = "done"
-	// HigherFence: the target has seen a higher fence on one of the keys.
+	// HigherFence: the target refused the order since it has seen a higher fence for one of the
+	// keys.
 	HigherFence Outcome = "higher-fence"
-	// NotSent: the target provably did not get the order.
+	// NotSent: the target is certain not to have received the order.
 	NotSent Outcome = "not-sent"
-	// Unknown: the target may have got it and may still do it.
+	// Unknown: the target may have received the order and may still carry it out.
 	Unknown Outcome = "unknown"
-	// Unverified: there is no connection as old as Order.Since; the order was not sent. The
-	// target may have been started again since.
+	// Unverified: the order was not sent, since there is no connection as old as
+	// Order.ConnectedSince. The target may have been restarted since then.
 	Unverified Outcome = "unverified"
-	// OtherTarget: somebody else answers at the address; the target has ended.
+	// OtherTarget: another process answers at the address, so the target has ended.
 	OtherTarget Outcome = "other-target"
 )
 
-// Config of a service's assignment.
+// Config is the configuration of a Manager.
 type Config struct {
 	Service string
 	// HoldMax is the longest hold that targets accept.
 	HoldMax time.Duration
-	// HeldUntil is when everything that former leading instances granted has run out. Never: it
-	// is not known, and they may have granted the longest hold until just now.
+	// HeldUntil is when all grants of former leaders have run out. clock.Never if that is not
+	// known: they may have sent grants with the longest hold until just now.
 	HeldUntil clock.Instant
-	Policy    keyrange.Policy
+	// Policy sets when ranges are moved to balance the load.
+	Policy keyrange.Policy
 }
 
-// holder is a target that owns keys, may own some, or may get some.
+// holder is the state of a target that owns keys, may own keys, or may get keys.
 type holder struct {
 	target view.Target
-	// listed says that the target is believed to be there.
+	// listed is set when the target is in the current list of targets.
 	listed bool
-	// firstListed is when it was first seen in the registry.
-	firstListed clock.Instant
-	// ended says that the target has ended for certain.
+	// firstListedAt is when the target was first listed.
+	firstListedAt clock.Instant
+	// ended is set when the target's process is certain to have ended.
 	ended bool
-	// heldUntil is when everything that it may have been granted has run out.
+	// heldUntil is when all grants that the target may have received have run out.
 	heldUntil clock.Instant
-	// granting counts grants under way; while there are any, heldUntil is not known.
-	granting int
-	// failingSince is when orders began to fail; Never while they are answered.
+	// grantsInFlight is the number of grants and renewals without an outcome; while there are any,
+	// heldUntil is not known.
+	grantsInFlight int
+	// failingSince is when orders began to fail; clock.Never while they are answered.
 	failingSince clock.Instant
-	// failedAt is when the last one failed.
-	failedAt clock.Instant
+	// lastFailedAt is when the last order failed.
+	lastFailedAt clock.Instant
 	// speed is the target's speed relative to the average.
 	speed float64
-	// limit is how many requests a second it takes from all instances together; 0: it names no limit.
+	// limit is how many requests a second the target takes from all instances together; 0 if it
+	// names no limit.
 	limit float64
-	// restarted says that the target has been started again under its name. Its address is that
-	// of the new process, which may have been granted keys by an order meant for the former one.
+	// restarted is set when another process was started under the target's name. The address is
+	// that of the new process, which may have received a grant that was meant for the former one.
 	restarted bool
-	// unverified says that the target may have been started again: it gets its keys once more,
-	// under a higher fence.
+	// unverified is set when the target may have been restarted: its keys are granted again, under
+	// a higher fence.
 	unverified bool
-	// anewAt is when it last got its keys once more.
-	anewAt clock.Instant
+	// regrantedAt is when its keys were last granted again.
+	regrantedAt clock.Instant
 }
 
+// failing reports whether an order to the target has failed since it last answered one.
 func (h *holder) failing() bool { return h.failingSince != clock.Never }
 
+// lost reports whether the target has failed to answer orders for so long that its keys are
+// reassigned.
 func (h *holder) lost(now clock.Instant) bool {
 	return h.failing() && now.Sub(h.failingSince) >= lostAfter
 }
 
-// takes reports whether the target may be given keys.
-func (h *holder) takes() bool {
+// eligible reports whether the target may be given keys.
+func (h *holder) eligible() bool {
 	return h.listed && !h.ended && !h.failing() && !h.target.Draining
 }
 
-// piece names a range under one fence.
-type piece struct {
+// rangeKey identifies a range under one fence.
+type rangeKey struct {
 	from, to uint16
 	fence    uint64
 }
 
 // renewal is the state of an owner's grant.
 type renewal struct {
-	at       clock.Instant
-	underWay bool
-	// heldAt is when the last order was sent after which the target had the keys.
-	heldAt clock.Instant
-	// over says that no order goes out under this fence again: the first one got no answer, as
+	// sentAt is when the last order was sent; clock.Never if a renewal is due.
+	sentAt clock.Instant
+	// inFlight is set while a renewal has no outcome yet.
+	inFlight bool
+	// confirmedAt is when the last order that the target confirmed was sent; clock.Never if there
+	// is none.
+	confirmedAt clock.Instant
+	// closed is set when no more orders are sent under this fence: the first one got no answer, as
 	// with move.unanswered, or the target has seen a higher fence.
-	over bool
+	closed bool
 }
 
-// move is the state of a range that changes hands.
+// move is the state of a range that is moving to another owner.
 type move struct {
+	// released is set when the former owner is certain to have given the keys up.
 	released bool
+	// handover is what the former owner sent when it released the keys.
 	handover string
-	// releasing and granting say that an order is under way.
+	// releasing and granting are set while such an order has no outcome yet.
 	releasing, granting bool
-	// offered says that the next owner may have got the grant.
+	// offered is set when the next owner may have received the grant.
 	offered bool
+	// granted is set when the next owner has confirmed the grant.
 	granted bool
-	// unanswered says that a grant got no answer. The next one goes out under a higher fence:
-	// the target may have taken this one, ended, and started again.
+	// unanswered is set when a grant got no answer. The next grant is sent under a higher fence:
+	// the target may have accepted this one, ended, and been restarted.
 	unanswered bool
-	// refused says that the next owner cannot take it under this fence.
+	// refused is set when no grant may be sent under this fence any more.
 	refused bool
+	// retryAt is the earliest time of the next order.
 	retryAt clock.Instant
-	begun   clock.Instant
+	// startedAt is when the range began to move.
+	startedAt clock.Instant
 }
