--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,14 +1,13 @@
-// Package lease decides who may lead. One row of the store names the holder of the lease.
-// The holder renews it by writing the row; each write is conditional on the row's version,
-// so two instances never both succeed.
+// Package lease decides which instance may be leader. One row of the store names the holder of the
+// lease. The holder renews the lease by writing the row. Each write is conditional on the row's
+// version, so that of two competing instances only one succeeds.
 //
-// No clock is compared with another's. The holder counts its lease from before it sent the
-// write that renewed it. Everyone else counts from when it first knew the row's version,
-// which is after that write took effect. An observer that has seen the version unchanged for
-// a whole lease therefore knows that the holder's own count has run out, whatever the
-// holder believes, as long as their clocks run at rates that differ by less than
-// ClockTolerance. Where the store came back from a copy the row has a version of a new era, and
-// the observer counts anew.
+// Times of different clocks are never compared. The holder counts its lease from before it sent the
+// write that renewed it. All others count from when they first saw the row's version, which is
+// after that write took effect. So an observer that has seen the same version for the duration of a
+// lease knows that the lease has run out by the holder's clock too, as long as the rates of the two
+// clocks differ by less than ClockTolerance. After the store was restored from a copy, the row has
+// a version of a new era, and the observer begins to count again.
 package lease
 
 import (
@@ -21,113 +20,119 @@
 )
 
 const (
-	// Duration of a lease. A renewal through a slow store takes up to 0.6 s and follows
-	// RenewEvery after the one before; two of them fit.
+	// Duration is the duration of a lease. A renewal through a slow store takes up to 0.6 s and
+	// begins RenewEvery after the previous one, so that two renewals fit into a lease.
 	Duration = 2 * time.Second
 	// RenewEvery is the time between renewals.
 	RenewEvery = 500 * time.Millisecond
-	// ClockTolerance is the part by which the rates of two clocks may differ. Targets'
-	// clocks may run 2 % slow, so the machines' are taken to be no worse.
+	// ClockTolerance is the fraction by which the rates of two clocks may differ. The clocks of
+	// targets may run 2 % slow; those of the instances' machines are assumed to be no worse.
 	ClockTolerance = 0.02
-	// SafetyMargin is what a holder keeps back for the time between a look at its lease and the
-	// effect of what it then does.
+	// SafetyMargin is how long before the end of its lease a holder stops acting. It covers the
+	// time between a check of the lease and the effect of the action that follows.
 	SafetyMargin = 100 * time.Millisecond
 )
 
 // Row is the content of the lease's row.
 type Row struct {
+	// Holder is the ID of the instance that holds the lease, Address where others reach it.
 	Holder  string `json:"holder"`
 	Address string `json:"address"`
-	// Term grows with each change of holder.
+	// Term grows with each change of the holder.
 	Term uint64 `json:"term"`
-	// Vacant says that the holder has given the lease up and does nothing under it any more.
+	// Vacant is set when the holder has given the lease up and no longer acts under it.
 	Vacant bool `json:"vacant,omitempty"`
-	// Era is the store's when the lease was taken. In a later one the row is of before the store came back
-	// from a copy: another instance may have taken the lease since, and hold it.
+	// Era is the era of the store in which the lease was taken. In a later era the row dates from
+	// before the store was restored from a copy: another instance may have taken the lease since
+	// then, and may still hold it.
 	Era uint64 `json:"era,omitempty"`
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of a row.
 func (r Row) Encode() ([]byte, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return nil, fmt.Errorf("lease: encode: %w", err)
+		return nil, fmt.Errorf("lease: encode row: %w", err)
 	}
 	return text, nil
 }
 
-// Decode reads the stored form.
+// Decode reads the stored form of a row.
 func Decode(text []byte) (Row, error) {
 	var r Row
 	if err := json.Unmarshal(text, &r); err != nil {
-		return Row{}, fmt.Errorf("lease: decode: %w", err)
+		return Row{}, fmt.Errorf("lease: decode row: %w", err)
 	}
 	return r, nil
 }
 
-// Holder is the holder's side. The zero value holds nothing.
+// Holder tracks a lease that this instance may hold. The zero value holds no lease.
 type Holder struct {
-	confirmed clock.Instant
+	// renewedAt is when the last successful renewal was begun.
+	renewedAt clock.Instant
 	held      bool
 }
 
-// Renewed notes that a write which was begun at the given time has taken effect.
+// Renewed records that a renewal that was begun at the given time has taken effect.
 func (h *Holder) Renewed(begun clock.Instant) {
-	h.confirmed = begun
+	h.renewedAt = begun
 	h.held = true
 }
 
-// Release gives the lease up.
+// Release records that the lease is given up.
 func (h *Holder) Release() { h.held = false }
 
-// Until returns when the holder must have stopped acting.
+// Until returns the time by which the holder must stop acting; clock.Never if it holds no lease.
 func (h *Holder) Until() clock.Instant {
 	if !h.held {
 		return clock.Never
 	}
-	return h.confirmed.Add(Duration - SafetyMargin)
+	return h.renewedAt.Add(Duration - SafetyMargin)
 }
 
-// Valid reports whether the holder may act.
+// Valid reports whether the holder may act under the lease.
 func (h *Holder) Valid(now clock.Instant) bool { return now < h.Until() }
 
-// Observer is the side of those that do not hold the lease.
+// Observer tracks the lease's row for an instance that does not hold the lease.
 type Observer struct {
-	version uint64
-	since   clock.Instant
-	vacant  bool
-	known   bool
-	// held says that somebody has held the lease.
-	held bool
+	// version is the newest known version of the row, and unchangedSince when it was first seen.
+	version        uint64
+	unchangedSince clock.Instant
+	vacant         bool
+	// known is set when the row has been observed.
+	known bool
+	// everHeld is set when any instance is known to have held the lease.
+	everHeld bool
 }
 
-// Observe notes that the row had the version at the given time.
+// Observe records that the row had the version at the given time, and whether the lease was vacant.
+// An older version is ignored.
 func (o *Observer) Observe(version uint64, vacant bool, at clock.Instant) {
 	if o.known && version <= o.version {
 		return
 	}
 	o.known = true
-	o.held = o.held || store.CountOf(version) != 0
+	o.everHeld = o.everHeld || store.CountOf(version) != 0
 	o.version = version
 	o.vacant = vacant
-	o.since = at
+	o.unchangedSince = at
 }
 
-// EverHeld reports whether the observer knows that somebody has held the lease.
-func (o *Observer) EverHeld() bool { return o.held }
+// EverHeld reports whether any instance is known to have held the lease.
+func (o *Observer) EverHeld() bool { return o.everHeld }
 
-// Version returns the newest version known.
+// Version returns the newest known version of the row.
 func (o *Observer) Version() uint64 { return o.version }
 
-// MayAcquire reports whether the lease is surely free, given that the row was read just now
-// with the newest version known.
+// MayAcquire reports whether the lease is certain to be free, given that the row was just read and
+// had the newest known version.
 func (o *Observer) MayAcquire(now clock.Instant) bool {
 	if !o.known {
 		return false
 	}
 	wait := Duration + time.Duration(float64(Duration)*ClockTolerance)
-	return !o.held || o.vacant || o.UnchangedFor(now) >= wait
+	return !o.everHeld || o.vacant || o.UnchangedFor(now) >= wait
 }
 
-// UnchangedFor returns for how long the row has had the newest version known, as far as the observer knows.
-func (o *Observer) UnchangedFor(now clock.Instant) time.Duration { return now.Sub(o.since) }
+// UnchangedFor returns how long ago the newest known version of the row was first seen.
+func (o *Observer) UnchangedFor(now clock.Instant) time.Duration { return now.Sub(o.unchangedSince) }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -18,17 +18,17 @@
 const start = clock.Instant(time.Hour)
 
 var _ = Describe("a lease", func() {
-	// Symptom: two instances lead. Sequence: the holder's renewal takes effect and its answer
-	// is slow; an observer sees the version and waits a lease; the holder counts from the
-	// answer. Cause: both sides must count from the end that is safe for them.
-	It("ends for its holder before anybody else may take it", func() {
+	// Guards against two leaders. A renewal takes effect, but its answer is slow. An observer waits
+	// for the duration of a lease from when it sees the new version, while the holder counts from
+	// the answer. The holder must count from the beginning of the renewal.
+	It("ends for its holder before any other instance may take it", func() {
 		var h Holder
 		var o Observer
-		begun, effect, answer := start, start.Add(300*time.Millisecond), start.Add(600*time.Millisecond)
+		begun, seen, answered := start, start.Add(300*time.Millisecond), start.Add(600*time.Millisecond)
 		h.Renewed(begun)
-		o.Observe(7, false, effect)
-		Expect(h.Valid(answer)).To(BeTrue())
-		for t := answer; t < start.Add(5*time.Second); t = t.Add(time.Millisecond) {
+		o.Observe(7, false, seen)
+		Expect(h.Valid(answered)).To(BeTrue())
+		for t := answered; t < start.Add(5*time.Second); t = t.Add(time.Millisecond) {
 			Expect(h.Valid(t) && o.MayAcquire(t)).To(BeFalse())
 		}
 		Expect(o.MayAcquire(start.Add(5 * time.Second))).To(BeTrue())
@@ -44,7 +44,7 @@
 		Expect(o.MayAcquire(start.Add(fast))).To(BeFalse())
 	})
 
-	It("starts anew with each version, and not with an old one", func() {
+	It("is counted anew from each newer version, and an older one is ignored", func() {
 		var o Observer
 		o.Observe(7, false, start)
 		o.Observe(8, false, start.Add(time.Second))
@@ -52,7 +52,7 @@
 		Expect(o.MayAcquire(start.Add(Duration + 500*time.Millisecond))).To(BeFalse())
 	})
 
-	It("may be taken at once when it was given up or never held", func() {
+	It("may be taken at once if it was given up or never held", func() {
 		var o Observer
 		Expect(o.MayAcquire(start)).To(BeFalse())
 		o.Observe(0, false, start)
@@ -61,7 +61,7 @@
 		Expect(o.MayAcquire(start)).To(BeTrue())
 	})
 
-	It("holds nothing before the first renewal and after it was dropped", func() {
+	It("is not valid before the first renewal and after its release", func() {
 		var h Holder
 		Expect(h.Valid(start)).To(BeFalse())
 		h.Renewed(start)
