--- a/coordination/permit/cold.go
+++ b/coordination/permit/cold.go
@@ -6,56 +6,59 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// A target that has just started, or was not used for long, is slow and breaks down at a rate of requests
-// that it bears later. Its keeper spaces what goes to it: one request for each interval of its cold rate,
-// the first one after a whole interval, so that the keepers before and after a change together stay within
-// what the target bears.
-
-// coldInterval is the least time between two requests for a cold target.
-func (s Target) coldInterval() time.Duration {
-	return time.Duration(float64(time.Second) / s.ColdRate)
+// A target that has just started, or has not been used for long, is slow, and breaks down at a
+// request rate that it handles easily later. Its keeper spaces requests to it by the interval of
+// its cold rate. The first request is sent after a whole interval, so that the old and the new
+// keeper together stay within the cold rate when the keeper changes.
+
+// coldInterval returns the minimum time between two requests to a cold target.
+func (t Target) coldInterval() time.Duration {
+	return time.Duration(float64(time.Second) / t.ColdRate)
 }
 
-// noteCold begins to space the requests for a target that is found to be cold.
-func (s *slot) noteCold(now clock.Instant) {
-	cold := s.Cold(now)
-	if cold && !s.spaced {
-		s.coldNext = now.Add(s.coldInterval())
+// updateCold starts spacing requests when the target has become cold.
+func (t *poolTarget) updateCold(now clock.Instant) {
+	cold := t.Cold(now)
+	if cold && !t.coldSpaced {
+		t.nextColdSend = now.Add(t.coldInterval())
 	}
-	s.spaced = cold
+	t.coldSpaced = cold
 }
 
-// untilTurn returns the time until a target may get the next request.
-func (s *slot) untilTurn(now clock.Instant) time.Duration {
-	wait := s.untilAllowed(now)
-	if s.Cold(now) {
-		wait = max(wait, s.coldNext.Sub(now))
+// untilNextSend returns the time until the target may get the next request.
+func (t *poolTarget) untilNextSend(now clock.Instant) time.Duration {
+	wait := t.untilAllowed(now)
+	if t.Cold(now) {
+		wait = max(wait, t.nextColdSend.Sub(now))
 	}
 	return wait
 }
 
-// awaitsTurn reports whether a target may not get the next request yet.
-func (s *slot) awaitsTurn(now clock.Instant) bool { return s.untilTurn(now) > 0 }
+// mustWait reports whether the target's rate does not allow the next request yet.
+func (t *poolTarget) mustWait(now clock.Instant) bool { return t.untilNextSend(now) > 0 }
 
-// took notes that a target got a request.
-func (s *slot) took(now clock.Instant) {
-	s.spend(now)
-	if s.Cold(now) {
-		s.coldNext = now.Add(s.coldInterval())
+// recordSend counts a request to the target against its limit and its cold rate.
+func (t *poolTarget) recordSend(now clock.Instant) {
+	t.consume(now)
+	if t.Cold(now) {
+		t.nextColdSend = now.Add(t.coldInterval())
 	}
 }
 
-// speed returns the number of slots of an average target that are as fast as those of this one.
-func (s *slot) speed(now clock.Instant) float64 { return float64(s.Slots) / s.believedSlowness(now) }
+// equivalentSlots returns the number of slots of an average target that are as fast as the slots of
+// this one.
+func (t *poolTarget) equivalentSlots(now clock.Instant) float64 {
+	return float64(t.Slots) / t.currentSlowness(now)
+}
 
-// does returns the number of slots of an average target that do the same as this one, for requests that
-// are expected to take the given time.
-func (s *slot) does(expected time.Duration, now clock.Instant) float64 {
-	slots := s.speed(now)
-	if s.Cold(now) {
-		slots = min(slots, s.ColdRate*expected.Seconds())
+// rateLimitedSlots returns the number of slots of an average target with the same throughput as
+// this target, for requests that are expected to take the given time.
+func (t *poolTarget) rateLimitedSlots(expected time.Duration, now clock.Instant) float64 {
+	slots := t.equivalentSlots(now)
+	if t.Cold(now) {
+		slots = min(slots, t.ColdRate*expected.Seconds())
 	}
-	if perSecond, limited := s.perSecond(); limited {
+	if perSecond, limited := t.perSecond(); limited {
 		slots = min(slots, perSecond*expected.Seconds())
 	}
 	return slots
--- a/coordination/permit/cold_test.go
+++ b/coordination/permit/cold_test.go
@@ -14,17 +14,17 @@
 	cold := func(until time.Duration) Target {
 		return Target{ID: "a", Slots: 30, ColdUntil: start.Add(until), ColdRate: rate}
 	}
-	// sent asks all the time, with answers at once, and counts what the pool lets through.
-	sent := func(f *fixture, length time.Duration) int {
+	// countSent asks continuously, answers at once, and counts the permits.
+	countSent := func(f *fixture, length time.Duration) int {
 		count := 0
 		for end := f.now.Add(length); f.now < end; f.now = f.now.Add(5 * time.Millisecond) {
-			f.setSlots([]Target{f.slots["a"].Target}, f.now)
+			f.setTargets([]Target{f.targets["a"].Target}, f.now)
 			w, p, err := f.ask(func(a *Ask) { a.Left = 60 * time.Second; a.AimLeft = time.Minute })
 			if err != nil {
 				continue
 			}
 			if p.Target == "" {
-				f.serve(f.now)
+				f.serveQueue(f.now)
 				select {
 				case done := <-w.done:
 					p = done.permit
@@ -39,28 +39,28 @@
 		return count
 	}
 
-	g.It("gets what it bears, and all it asks for afterwards (guards against a rush at targets that have just started)", func() {
+	g.It("gets requests at its cold rate, and all requests afterwards (guards against overloading targets that have just started)", func() {
 		f := newFixture(cold(3 * time.Second))
-		Expect(sent(f, 3*time.Second)).To(BeNumerically("~", 3*rate, 2))
-		Expect(sent(f, time.Second)).To(BeNumerically(">", 100))
+		Expect(countSent(f, 3*time.Second)).To(BeNumerically("~", 3*rate, 2))
+		Expect(countSent(f, time.Second)).To(BeNumerically(">", 100))
 	})
 
-	g.It("gets no more from the keepers before and after a change (guards against each beginning with a burst)", func() {
+	g.It("gets no more when its keeper changes (guards against each keeper starting with a burst)", func() {
 		before, after := newFixture(cold(3*time.Second)), newFixture(cold(3*time.Second))
-		sent(before, 2*time.Second)
+		countSent(before, 2*time.Second)
 		after.now = before.now
-		after.setSlots([]Target{cold(3 * time.Second)}, after.now)
-		Expect(sent(before, 500*time.Millisecond) + sent(after, 500*time.Millisecond)).To(BeNumerically("<=", 6))
+		after.setTargets([]Target{cold(3 * time.Second)}, after.now)
+		Expect(countSent(before, 500*time.Millisecond) + countSent(after, 500*time.Millisecond)).To(BeNumerically("<=", 6))
 	})
 
-	g.It("is spaced anew when it turns cold in use (guards against the rate of before going on)", func() {
+	g.It("gets spaced requests when it becomes cold while in use (guards against keeping the previous rate)", func() {
 		f := newFixture(Target{ID: "a", Slots: 30, ColdRate: rate})
-		sent(f, time.Second)
-		f.setSlots([]Target{cold(10 * time.Second)}, f.now)
-		Expect(sent(f, time.Second)).To(BeNumerically("<=", 6))
+		countSent(f, time.Second)
+		f.setTargets([]Target{cold(10 * time.Second)}, f.now)
+		Expect(countSent(f, time.Second)).To(BeNumerically("<=", 6))
 	})
 
-	g.It("has its rate told to those that do not fit (guards against callers held until their deadline)", func() {
+	g.It("has requests beyond its cold rate refused with a matching retry time (guards against holding callers until their deadline)", func() {
 		f := newFixture(cold(10 * time.Second))
 		var refused *RefusedError
 		for range 40 {
@@ -76,14 +76,14 @@
 		Expect(refused.RetryAfter).To(BeNumerically(">", time.Second))
 	})
 
-	g.It("does not hold up others of its pool", func() {
+	g.It("does not delay requests to other targets of its pool", func() {
 		f := newFixture(cold(3*time.Second), Target{ID: "b", Slots: 2})
 		_, p, err := f.ask(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("b"))
 	})
 
-	g.It("is not cold where no rate is known", func() {
+	g.It("is not cold if no cold rate is known", func() {
 		Expect(Target{ColdUntil: clock.Instant(time.Hour)}.Cold(0)).To(BeFalse())
 	})
 })
--- a/coordination/permit/groups.go
+++ b/coordination/permit/groups.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	// groupAbove is the number of targets up to which a service has one group. One queue is
-	// better for few targets: its slots are all found from anywhere.
-	groupAbove = 16
-	// groupSize is the number of targets for which a data centre gets one more group. A keeper
-	// handles two messages for each request, and may have a sixth of a core.
-	groupSize = 10
-	// groupTries is the number of groups that are asked for a free slot before a request is
+	// maxUngroupedTargets is the number of targets up to which a service has a single group. For a
+	// few targets one queue is better: a free slot is found from every instance.
+	maxUngroupedTargets = 16
+	// targetsPerGroup is the number of targets for which a data centre gets one more group. A
+	// keeper handles two messages for each request, and may have only a sixth of a core.
+	targetsPerGroup = 10
+	// maxGroupTries is the number of groups that are asked for a free slot before a request is
 	// queued at one of them.
-	groupTries = 3
-	// toldFor is how long a group that had no free slot is not asked for one again.
-	toldFor = 150 * time.Millisecond
+	maxGroupTries = 3
+	// skipFullFor is how long a group that had no free slot is not asked for one again.
+	skipFullFor = 150 * time.Millisecond
 )
 
-// Group is a part of the targets of a service without keys. Its slots are handed out by one
-// keeper, in its data centre where there is one.
+// Group is a subset of the targets of a service without keys. One keeper hands out its slots, an
+// instance in the group's data centre if there is one.
 type Group struct {
 	Name       string
 	DataCentre string
 	Slots      int
 }
 
-// GroupOf returns the name of the group that a target belongs to, among all targets of its
+// GroupOf returns the name of the group that a target belongs to. It needs all targets of the
 // service.
-func GroupOf(s Target, all []Target) string {
-	if len(all) <= groupAbove {
+func GroupOf(t Target, all []Target) string {
+	if len(all) <= maxUngroupedTargets {
 		return ""
 	}
-	here := 0
+	sameDataCentre := 0
 	for _, other := range all {
-		if other.DataCentre == s.DataCentre {
-			here++
+		if other.DataCentre == t.DataCentre {
+			sameDataCentre++
 		}
 	}
-	parts := uint64((here + groupSize - 1) / groupSize)
-	return s.DataCentre + "/" + strconv.FormatUint(xxhash.Sum64String(s.ID)%parts, 10)
+	groups := uint64((sameDataCentre + targetsPerGroup - 1) / targetsPerGroup)
+	return t.DataCentre + "/" + strconv.FormatUint(xxhash.Sum64String(t.ID)%groups, 10)
 }
 
-// Groups returns the groups of a service's targets, sorted by name.
+// Groups returns the groups that a service's targets form, sorted by name.
 func Groups(all []Target) []Group {
 	byName := map[string]*Group{}
-	for _, s := range all {
-		name := GroupOf(s, all)
+	for _, t := range all {
+		name := GroupOf(t, all)
 		g := byName[name]
 		if g == nil {
 			g = &Group{Name: name}
 			if name != "" {
-				g.DataCentre = s.DataCentre
+				g.DataCentre = t.DataCentre
 			}
 			byName[name] = g
 		}
-		g.Slots += s.Slots
+		g.Slots += t.Slots
 	}
 	list := make([]Group, 0, len(byName))
 	for _, g := range byName {
@@ -74,38 +74,40 @@
 	return list
 }
 
-// Chooser says which group of a service to ask, from what their keepers told. It is safe for
-// concurrent use; its lock is a leaf.
+// Chooser selects which group of a service to ask for a permit, based on the waiting times of
+// earlier requests. It is safe for concurrent use; its lock is a leaf.
 type Chooser struct {
-	clock clock.Clock
-	home  string
+	clock      clock.Clock
+	dataCentre string
 
-	mu   sync.Mutex
-	told map[groupID]told
+	mu    sync.Mutex
+	waits map[groupID]waitEstimate
 }
 
 type groupID struct{ service, group string }
 
-type told struct {
+// waitEstimate is the last known waiting time in a group.
+type waitEstimate struct {
 	wait time.Duration
 	at   clock.Instant
 }
 
-// NewChooser returns a chooser for an instance in a data centre.
-func NewChooser(c clock.Clock, home string) *Chooser {
-	return &Chooser{clock: c, home: home, told: map[groupID]told{}}
+// NewChooser returns a Chooser for an instance in the given data centre.
+func NewChooser(c clock.Clock, dataCentre string) *Chooser {
+	return &Chooser{clock: c, dataCentre: dataCentre, waits: map[groupID]waitEstimate{}}
 }
 
-// RecordWait notes how long a request would have waited, or waited, in a group.
+// RecordWait records how long a request waited, or would have waited, in a group.
 func (c *Chooser) RecordWait(service, group string, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told[groupID{service, group}] = told{wait, c.clock.Now()}
+	c.waits[groupID{service, group}] = waitEstimate{wait, c.clock.Now()}
 }
 
-// Candidates returns groups in the order in which to ask them for a free slot: those of the own
-// data centre first, the others at random by their slots. Groups that had none a moment ago
-// are left out, and those of other data centres where going there costs much: see Shortest.
+// Candidates returns at most maxGroupTries groups in the order in which to ask them for a free
+// slot: those of the instance's own data centre first, the others in random order weighted by their
+// slots. It omits groups that had no free slot a moment ago, and groups in other data centres if
+// the given cost of using these is high.
 func (c *Chooser) Candidates(service string, groups []Group, cost time.Duration) []Group {
 	type ranked struct {
 		Group
@@ -115,46 +117,46 @@
 	var list []ranked
 	c.mu.Lock()
 	for _, g := range groups {
-		if t, known := c.told[groupID{service, g.Name}]; known && t.wait > 0 && now.Sub(t.at) < toldFor {
+		if last, known := c.waits[groupID{service, g.Name}]; known && last.wait > 0 && now.Sub(last.at) < skipFullFor {
 			continue
 		}
-		if cost >= leastWaitAtHome && g.DataCentre != c.home {
+		if cost >= minCostToWaitLocally && g.DataCentre != c.dataCentre {
 			continue
 		}
-		// The exponential of a rate orders at random, in proportion to the rates.
+		// Sorting by exponentially distributed keys gives a random order weighted by slots.
 		key := rand.ExpFloat64() / float64(max(1, g.Slots))
-		if g.DataCentre != c.home {
-			key += abroadLast
+		if g.DataCentre != c.dataCentre {
+			key += remotePenalty
 		}
 		list = append(list, ranked{g, key})
 	}
 	c.mu.Unlock()
 	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(a.key, b.key) })
-	var ask []Group
-	for _, r := range list[:min(groupTries, len(list))] {
-		ask = append(ask, r.Group)
+	var candidates []Group
+	for _, r := range list[:min(maxGroupTries, len(list))] {
+		candidates = append(candidates, r.Group)
 	}
-	return ask
+	return candidates
 }
 
-// abroadLast puts the groups of other data centres behind all of the own one.
-const abroadLast = 1e9
+// remotePenalty sorts the groups of other data centres behind all groups of the instance's own.
+const remotePenalty = 1e9
 
-// ShortestWait returns the group in which the wait is shortest, as far as known, with the cost of
-// going to another data centre.
+// ShortestWait returns the group with the shortest known wait, where cost is added for groups in
+// other data centres.
 func (c *Chooser) ShortestWait(service string, groups []Group, cost time.Duration) Group {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wait := func(g Group) time.Duration {
-		t := c.told[groupID{service, g.Name}]
-		d := max(0, t.wait-now.Sub(t.at))
-		if g.DataCentre != c.home {
+		last := c.waits[groupID{service, g.Name}]
+		d := max(0, last.wait-now.Sub(last.at))
+		if g.DataCentre != c.dataCentre {
 			d += cost
 		}
 		return d
 	}
-	// Not always the first one of those that are the same.
+	// A random start selects among groups with equal waits.
 	start := rand.IntN(len(groups))
 	best := groups[start]
 	for i := range groups {
--- a/coordination/permit/keeper.go
+++ b/coordination/permit/keeper.go
@@ -8,31 +8,31 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// serveEvery is the time between looks at the queues beside the ends of requests: for
-// deadlines that pass, targets that come and permits that were not given back.
-const serveEvery = 20 * time.Millisecond
+// serveInterval is the time between periodic checks of the queues. They handle deadlines that pass,
+// targets that appear and permits that were not returned; ends of requests are handled at once.
+const serveInterval = 20 * time.Millisecond
 
-// poolIdle is how long a pool that nobody asks for is kept.
-const poolIdle = 30 * time.Second
+// poolIdleTimeout is how long a pool that is not asked for is retained.
+const poolIdleTimeout = 30 * time.Second
 
-// Keeper hands out the slots of the targets that this instance keeps. It is safe for
+// Keeper hands out the slots of the targets that this instance is the keeper of. It is safe for
 // concurrent use.
 type Keeper struct {
 	clock clock.Clock
-	// slots returns the targets of a pool as they are believed to be now.
-	slots func(id PoolID) []Target
+	// targets returns the currently known targets of a pool.
+	targets func(id PoolID) []Target
 
-	// busy tells Run that slots are in use again.
-	busy chan struct{}
+	// wake tells Run that slots are in use again.
+	wake chan struct{}
 
 	mu    sync.Mutex
 	pools map[PoolID]*keptPool
-	// looking says that Run looks at the queues every serveEvery, ticks how often it has.
-	looking bool
+	// ticking is true while Run checks the queues every serveInterval; ticks counts the checks.
+	ticking bool
 	ticks   int
 }
 
-// PoolID names the slots of one target, or of a group of targets that serve the same.
+// PoolID identifies the slots of one target, or of a group of interchangeable targets.
 type PoolID struct {
 	Service string
 	// Target is empty for services without keys.
@@ -40,30 +40,31 @@
 	Group  string
 }
 
-// Pool returns what an ask is for.
+// Pool returns the pool that the ask is for.
 func (a Ask) Pool() PoolID { return PoolID{a.Service, a.Target, a.Group} }
 
+// keptPool is a pool and when it was last asked for.
 type keptPool struct {
 	*pool
 	usedAt clock.Instant
 }
 
-// NewKeeper returns a keeper. The function slots is called with the lock held and must not
-// block.
-func NewKeeper(c clock.Clock, slots func(PoolID) []Target) *Keeper {
-	return &Keeper{clock: c, slots: slots, busy: make(chan struct{}, 1), pools: map[PoolID]*keptPool{}}
+// NewKeeper returns a Keeper. The targets function is called with the Keeper's lock held and must
+// not block.
+func NewKeeper(c clock.Clock, targets func(PoolID) []Target) *Keeper {
+	return &Keeper{clock: c, targets: targets, wake: make(chan struct{}, 1), pools: map[PoolID]*keptPool{}}
 }
 
-// Run looks after the queues until ctx ends. While no slot is in use it sleeps: looks at nothing
-// are most of what an idle instance would do.
+// Run checks the queues periodically until ctx ends. It sleeps while no slot is in use: otherwise
+// the checks would be most of the work of an idle instance.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(serveEvery)
+	ticker := time.NewTicker(serveInterval)
 	defer ticker.Stop()
 	ticker.Stop()
 	for {
 		select {
-		case <-k.busy:
-			ticker.Reset(serveEvery)
+		case <-k.wake:
+			ticker.Reset(serveInterval)
 		case <-ticker.C:
 			if !k.tick() {
 				ticker.Stop()
@@ -74,39 +75,40 @@
 	}
 }
 
-// look has Run look at the queues. The caller holds the lock.
-func (k *Keeper) look() {
-	if !k.looking {
-		k.looking = true
+// startTicking makes Run check the queues periodically. The caller holds the lock.
+func (k *Keeper) startTicking() {
+	if !k.ticking {
+		k.ticking = true
 		select {
-		case k.busy <- struct{}{}:
+		case k.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// tick looks at the queues, and reports whether slots are in use still.
+// tick checks the queues and reports whether slots are still in use.
 func (k *Keeper) tick() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ticks++
-	k.looking = false
+	k.ticking = false
 	now := k.clock.Now()
 	for id, p := range k.pools {
-		if len(p.uses) == 0 && len(p.waiting) == 0 {
-			if now.Sub(p.usedAt) > poolIdle {
+		if len(p.granted) == 0 && len(p.waiting) == 0 {
+			if now.Sub(p.usedAt) > poolIdleTimeout {
 				delete(k.pools, id)
 			}
 			continue
 		}
-		p.setSlots(k.slots(id), now)
-		p.reclaim(now)
-		p.serve(now)
-		k.looking = true
+		p.setTargets(k.targets(id), now)
+		p.reclaimExpired(now)
+		p.serveQueue(now)
+		k.ticking = true
 	}
-	return k.looking
+	return k.ticking
 }
 
+// pool returns the pool with an ID, which it creates if necessary. The caller holds the lock.
 func (k *Keeper) pool(id PoolID, now clock.Instant) *keptPool {
 	p := k.pools[id]
 	if p == nil {
@@ -117,10 +119,10 @@
 	return p
 }
 
-// Acquire waits for a permit. The error is a *RefusedError, or that of ctx when the caller
-// has gone away.
+// Acquire waits for a permit. The error is a *RefusedError, or ctx.Err() if the caller has gone
+// away.
 func (k *Keeper) Acquire(ctx context.Context, ask Ask) (Permit, error) {
-	w, granted, queued, err := k.enter(ask)
+	w, granted, queued, err := k.submit(ask)
 	if err != nil || !queued {
 		return granted, err
 	}
@@ -133,25 +135,27 @@
 	}
 }
 
-func (k *Keeper) enter(ask Ask) (*waiter, Permit, bool, error) {
+// submit passes an ask to its pool. It returns a permit or an error at once, or queued with a
+// waiter that receives the decision.
+func (k *Keeper) submit(ask Ask) (*waiter, Permit, bool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	p := k.pool(ask.Pool(), now)
-	p.setSlots(k.slots(ask.Pool()), now)
-	p.noteLimits(ask.Limits, now)
+	p.setTargets(k.targets(ask.Pool()), now)
+	p.recordLimits(ask.Limits, now)
 	w := &waiter{
 		ask: ask, arrived: now, aim: now.Add(ask.AimLeft), deadline: now.Add(ask.Left),
-		expected: p.expected(ask), done: make(chan answer, 1),
+		expected: p.expectedDuration(ask), done: make(chan decision, 1),
 	}
 	granted, queued, err := p.admit(w, now)
 	if err == nil {
-		k.look()
+		k.startTicking()
 	}
 	return w, granted, queued, err
 }
 
-// Release gives a permit back.
+// Release returns a permit.
 func (k *Keeper) Release(id PoolID, r Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -161,16 +165,16 @@
 		return
 	}
 	p.report(r, now)
-	p.serve(now)
+	p.serveQueue(now)
 }
 
-// Abandon withdraws an ask.
+// Abandon withdraws an ask that waits, or returns its permit.
 func (k *Keeper) Abandon(pool PoolID, id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p := k.pools[pool]; p != nil {
 		now := k.clock.Now()
 		p.abandon(id, now)
-		p.serve(now)
+		p.serveQueue(now)
 	}
 }
--- a/coordination/permit/keepers_test.go
+++ b/coordination/permit/keepers_test.go
@@ -9,8 +9,8 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// instancesOf makes instances in five data centres, the first ones of which are large.
-func instancesOf(count, large int) []view.Instance {
+// makeInstances returns instances in five data centres, the first ones of which are large.
+func makeInstances(count, large int) []view.Instance {
 	var list []view.Instance
 	for n := range count {
 		weight := 0.16
@@ -23,12 +23,12 @@
 }
 
 var _ = g.Describe("the keepers of pools", func() {
-	// Symptom: small instances use 50 MB, and more with each instance that joins; a fleet of ten times
-	// the size would not fit. Sequence: each request asks the keeper of its target; every instance
-	// keeps some. Cause: every instance has connections to all others.
-	g.It("are few large ones in a large fleet, and have a fifth of the processors of each data centre", func() {
-		Expect(Keepers(instancesOf(295, 15))).To(HaveLen(15))
-		uniform := Keepers(instancesOf(295, 0))
+	// If every instance were a keeper, every instance would have connections to all others. Small
+	// instances would use 50 MB and more with each instance that joins, which does not scale to ten
+	// times the fleet.
+	g.It("are a few large instances in a large fleet, with a fifth of the processors of each data centre", func() {
+		Expect(Keepers(makeInstances(295, 15))).To(HaveLen(15))
+		uniform := Keepers(makeInstances(295, 0))
 		Expect(len(uniform)).To(BeNumerically("~", 295*keeperShare, 5))
 		dataCentres := map[string]int{}
 		for _, i := range uniform {
@@ -37,22 +37,22 @@
 		Expect(dataCentres).To(HaveLen(5))
 	})
 
-	g.It("are all in a small fleet", func() {
-		Expect(Keepers(instancesOf(allKeep, 3))).To(HaveLen(allKeep))
+	g.It("are all instances of a small fleet", func() {
+		Expect(Keepers(makeInstances(maxAllKeepers, 3))).To(HaveLen(maxAllKeepers))
 	})
 
-	// A keeper that is another one after each restart would forget which slots are in use.
-	g.It("are the same when a small instance is started again", func() {
-		before := Keepers(instancesOf(295, 15))
-		list := instancesOf(295, 15)
+	// A keeper that changes with each restart would forget which slots are in use.
+	g.It("do not change when a small instance restarts", func() {
+		before := Keepers(makeInstances(295, 15))
+		list := makeInstances(295, 15)
 		list[200].ID = "i0200.2"
 		Expect(Keepers(list)).To(ConsistOf(before))
-		list = instancesOf(295, 0)
+		list = makeInstances(295, 0)
 		list[200].ID = "i0200.2"
 		changed := 0
 		for _, i := range Keepers(list) {
 			found := false
-			for _, j := range Keepers(instancesOf(295, 0)) {
+			for _, j := range Keepers(makeInstances(295, 0)) {
 				found = found || i == j
 			}
 			if !found {
@@ -63,7 +63,7 @@
 	})
 
 	g.It("are at least three in each data centre", func() {
-		list := instancesOf(40, 5)
+		list := makeInstances(40, 5)
 		Expect(len(Keepers(list))).To(BeNumerically(">=", 15))
 	})
 })
--- a/coordination/permit/limit.go
+++ b/coordination/permit/limit.go
@@ -10,84 +10,85 @@
 	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
-// A target in need says in its answers how many requests a second it takes from all instances together. Its
-// keeper sees all that goes to it, and goes by that. Each instance that was told tells the keeper: with the
-// end of the request that was answered, and again with each ask, so that the next keeper knows it from the
-// first instance on that is bound by it.
+// An overloaded target states in its answers how many requests a second it accepts from all
+// instances together. Its keeper sees all requests to the target and enforces this limit. Each
+// instance that gets such an answer forwards the limit to the keeper: when it returns the permit,
+// and again with each ask, so that a new keeper learns it from the first instance that knows it.
 
-// leastBurst is how many requests a target with a limit may get at once after a pause, if that is more than
-// it takes in a second. One at a time would have requests wait though the target takes more than come.
-const leastBurst = 2
+// minBurst is the minimum number of requests that a target with a limit may get at once after a
+// pause. A burst of one would make requests wait although the target accepts more than arrive.
+const minBurst = 2
 
-// allowance is how many requests a target may get.
-type allowance struct {
-	// limiter is nil where the target names no limit.
+// rateLimit enforces the limit that a target has stated.
+type rateLimit struct {
+	// limiter is nil if the target states no limit.
 	limiter *rate.Limiter
-	// heardAt is when it last said whether it does.
-	heardAt clock.Instant
+	// statedAt is when the target last answered, with or without a limit.
+	statedAt clock.Instant
 }
 
-// moment is an instant as the limiter counts.
-func moment(now clock.Instant) time.Time { return time.Unix(0, int64(now)) }
+// limiterTime converts an instant to the time type of the limiter.
+func limiterTime(now clock.Instant) time.Time { return time.Unix(0, int64(now)) }
 
-// heardLimit notes what a target has said at the given time: how many requests a second it takes from all
-// instances together, 0: it names no limit.
+// setLimit records how many requests a second the target accepts from all instances together, as it
+// stated at the given time; 0 means no limit.
 //
-// The first request is let through after a whole interval, so that the keepers before and after a change
-// together stay within what the target takes.
-func (a *allowance) heardLimit(perSecond float64, at, now clock.Instant) {
-	if at <= a.heardAt {
+// The first request is let through after a whole interval, so that the old and the new keeper
+// together stay within the limit when the keeper changes.
+func (l *rateLimit) setLimit(perSecond float64, at, now clock.Instant) {
+	if at <= l.statedAt {
 		return
 	}
-	a.heardAt = at
+	l.statedAt = at
 	if perSecond == 0 {
-		a.limiter = nil
+		l.limiter = nil
 		return
 	}
-	burst := max(leastBurst, int(perSecond))
-	if a.limiter == nil {
-		a.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
-		a.limiter.AllowN(moment(now), burst)
+	burst := max(minBurst, int(perSecond))
+	if l.limiter == nil {
+		l.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
+		l.limiter.AllowN(limiterTime(now), burst)
 		return
 	}
-	a.limiter.SetLimitAt(moment(now), rate.Limit(perSecond))
-	a.limiter.SetBurstAt(moment(now), burst)
+	l.limiter.SetLimitAt(limiterTime(now), rate.Limit(perSecond))
+	l.limiter.SetBurstAt(limiterTime(now), burst)
 }
 
-// untilAllowed returns the time until the target may get the next request.
-func (a *allowance) untilAllowed(now clock.Instant) time.Duration {
-	if a.limiter == nil {
+// untilAllowed returns the time until the limit allows the next request.
+func (l *rateLimit) untilAllowed(now clock.Instant) time.Duration {
+	if l.limiter == nil {
 		return 0
 	}
-	missing := 1 - a.limiter.TokensAt(moment(now))
-	return max(0, time.Duration(missing/float64(a.limiter.Limit())*float64(time.Second)))
+	missing := 1 - l.limiter.TokensAt(limiterTime(now))
+	return max(0, time.Duration(missing/float64(l.limiter.Limit())*float64(time.Second)))
 }
 
-// spend notes that the target gets a request.
-func (a *allowance) spend(now clock.Instant) {
-	if a.limiter != nil {
-		a.limiter.AllowN(moment(now), 1)
+// consume counts a request against the limit.
+func (l *rateLimit) consume(now clock.Instant) {
+	if l.limiter != nil {
+		l.limiter.AllowN(limiterTime(now), 1)
 	}
 }
 
-// perSecond returns how many requests a second the target takes; limited is false where it names no limit.
-func (a *allowance) perSecond() (perSecond float64, limited bool) {
-	if a.limiter == nil {
+// perSecond returns how many requests a second the target accepts; limited is false if it states no
+// limit.
+func (l *rateLimit) perSecond() (perSecond float64, limited bool) {
+	if l.limiter == nil {
 		return 0, false
 	}
-	return float64(a.limiter.Limit()), true
+	return float64(l.limiter.Limit()), true
 }
 
-// allLimited reports whether all targets of the pool name limits.
+// allLimited reports whether all targets of the pool state limits.
 func (p *pool) allLimited() bool {
-	return !slices.ContainsFunc(p.order, func(s *slot) bool { return s.limiter == nil })
+	return !slices.ContainsFunc(p.current, func(t *poolTarget) bool { return t.limiter == nil })
 }
 
-// noteLimits takes what an instance was told by targets of the pool.
-func (p *pool) noteLimits(list []targetstatus.Limit, now clock.Instant) {
+// recordLimits records the limits that targets of the pool have stated to an instance.
+func (p *pool) recordLimits(list []targetstatus.Limit, now clock.Instant) {
 	for _, l := range list {
-		if s := p.slots[l.Target]; s != nil {
-			s.heardLimit(l.PerSecond, now.Add(-l.Age), now)
+		if t := p.targets[l.Target]; t != nil {
+			t.setLimit(l.PerSecond, now.Add(-l.Age), now)
 		}
 	}
 }
--- a/coordination/permit/permit_test.go
+++ b/coordination/permit/permit_test.go
@@ -20,7 +20,7 @@
 
 const start = clock.Instant(time.Hour)
 
-// fixture is a pool with a hand-driven clock.
+// fixture is a pool with a manually driven clock.
 type fixture struct {
 	*pool
 	now  clock.Instant
@@ -29,47 +29,46 @@
 
 func newFixture(slots ...Target) *fixture {
 	f := &fixture{pool: newPool(), now: start}
-	f.setSlots(slots, f.now)
+	f.setTargets(slots, f.now)
 	return f
 }
 
-func two(slots int) []Target {
+func twoTargets(slots int) []Target {
 	return []Target{{ID: "a", Slots: slots, DataCentre: "dc1"}, {ID: "b", Slots: slots, DataCentre: "dc2"}}
 }
 
-// ask enters a request and returns it with its permit, if it got one at once.
+// ask submits a request and returns it with its permit, if it got one at once.
 func (f *fixture) ask(change func(*Ask)) (*waiter, Permit, error) {
 	f.next++
 	a := Ask{ID: fmt.Sprint(f.next), Rule: "r", AimLeft: 500 * time.Millisecond, Left: 2 * time.Second}
 	if change != nil {
 		change(&a)
 	}
-	w := &waiter{ask: a, arrived: f.now, aim: f.now.Add(a.AimLeft), deadline: f.now.Add(a.Left), expected: f.expected(a), done: make(chan answer, 1)}
+	w := &waiter{ask: a, arrived: f.now, aim: f.now.Add(a.AimLeft), deadline: f.now.Add(a.Left), expected: f.expectedDuration(a), done: make(chan decision, 1)}
 	p, _, err := f.admit(w, f.now)
 	return w, p, err
 }
 
 func (f *fixture) served(p Permit, took time.Duration) {
 	f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Served, Took: took}, f.now)
-	f.serve(f.now)
+	f.serveQueue(f.now)
 }
 
 var _ = g.Describe("a pool of slots", func() {
-	// Symptom: a target resets connections, and bookings on them are lost.
-	// Sequence: more requests are sent than the target runs and queues.
-	// Cause: many instances, each within its own bound.
-	g.It("never hands out more than the targets have", func() {
-		f := newFixture(two(3)...)
-		given := 0
+	// Guards against many instances, each within its own bound, sending a target more than it can
+	// run and queue: it would reset connections, and bookings on them would be lost.
+	g.It("never grants more permits than the targets have slots", func() {
+		f := newFixture(twoTargets(3)...)
+		granted := 0
 		for range 50 {
 			if _, p, err := f.ask(nil); err == nil && p.Target != "" {
-				given++
+				granted++
 			}
 		}
-		Expect(given).To(Equal(6))
+		Expect(granted).To(Equal(6))
 	})
 
-	g.It("hands a free slot to the more urgent request first", func() {
+	g.It("grants a free slot to the more urgent request first", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		_, first, _ := f.ask(nil)
 		low, _, err := f.ask(func(a *Ask) { a.Priority = 2 })
@@ -81,10 +80,9 @@
 		Expect(low.done).NotTo(Receive())
 	})
 
-	// Symptom: under a load of twice the capacity every answer is late.
-	// Sequence: requests queue until their deadline; each served one has waited too long.
-	// Cause: a queue as long as the deadline allows.
-	g.It("refuses at once what would be late, with the time until there is room", func() {
+	// Guards against a queue that is as long as the deadline allows: under a load of twice the
+	// capacity, each served request would have waited too long, and every answer would be late.
+	g.It("refuses at once requests that would be late, with the time until a slot is free", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		var refused *RefusedError
 		for range 20 {
@@ -97,7 +95,7 @@
 		Expect(len(f.waiting)).To(BeNumerically("<=", 5))
 	})
 
-	g.It("queues one that came back up to its deadline", func() {
+	g.It("queues a request that was refused before up to its deadline", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		for range 20 {
 			f.ask(nil)
@@ -106,22 +104,22 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	g.It("gives up a request whose time has become too short", func() {
+	g.It("refuses a queued request that has too little time left", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
 		w, _, err := f.ask(func(a *Ask) { a.Left = 300 * time.Millisecond; a.AimLeft = 300 * time.Millisecond })
 		Expect(err).NotTo(HaveOccurred())
 		f.now = f.now.Add(280 * time.Millisecond)
-		f.serve(f.now)
-		var a answer
+		f.serveQueue(f.now)
+		var a decision
 		Expect(w.done).To(Receive(&a))
 		Expect(a.err).To(MatchError(ContainSubstring(ReasonLate)))
 	})
 
-	// Symptom: lookups are refused after 2.9 s of 3 s, with no time left to come back.
-	// Sequence: a lookup is queued for its turn; more urgent requests come one after the other.
-	// Cause: the queue was looked at again only when the lookup's own time was over.
-	g.It("gives up early what more urgent requests have pushed too far back", func() {
+	// A look-up is queued, and more urgent requests arrive one after the other. If the queue were
+	// checked only at the look-up's own deadline, it would be refused after 2.9 s of 3 s, with no
+	// time left to retry.
+	g.It("refuses early a queued request that more urgent ones have delayed too much", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
 		low, _, err := f.ask(func(a *Ask) { a.Priority = 2 })
@@ -131,14 +129,14 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		f.now = f.now.Add(20 * time.Millisecond)
-		f.serve(f.now)
-		var a answer
+		f.serveQueue(f.now)
+		var a decision
 		Expect(low.done).To(Receive(&a))
 		Expect(a.err).To(MatchError(ContainSubstring(ReasonLate)))
 	})
 
 	g.It("prefers the faster target", func() {
-		f := newFixture(two(4)...)
+		f := newFixture(twoTargets(4)...)
 		for range 40 {
 			_, p, err := f.ask(nil)
 			Expect(err).NotTo(HaveOccurred())
@@ -153,18 +151,17 @@
 		Expect(p.Target).To(Equal("b"))
 	})
 
-	// Symptom: targets that join get nothing while others are in use. Sequence: two fast
-	// targets serve; a third joins. Cause: nothing is known of it, and an average speed was
-	// assumed, which is worse than theirs.
-	g.It("tries a target that joins, with one request at first", func() {
-		f := newFixture(two(4)...)
+	// If a new target were assumed to have average speed, it would get no requests while faster
+	// targets are in use.
+	g.It("tries a new target, with one request at first", func() {
+		f := newFixture(twoTargets(4)...)
 		for range 60 {
 			_, p, err := f.ask(nil)
 			Expect(err).NotTo(HaveOccurred())
 			f.now = f.now.Add(100 * time.Millisecond)
 			f.served(p, 100*time.Millisecond)
 		}
-		f.setSlots(append(two(4), Target{ID: "c", Slots: 4}), f.now)
+		f.setTargets(append(twoTargets(4), Target{ID: "c", Slots: 4}), f.now)
 		used := map[string]int{}
 		for range 4 {
 			_, p, _ := f.ask(nil)
@@ -173,8 +170,8 @@
 		Expect(used["c"]).To(Equal(1))
 	})
 
-	g.It("does not send a request to a target that it has tried", func() {
-		f := newFixture(two(4)...)
+	g.It("does not send a request to an excluded target", func() {
+		f := newFixture(twoTargets(4)...)
 		for range 4 {
 			_, p, err := f.ask(func(a *Ask) { a.Exclude = []string{"a"} })
 			Expect(err).NotTo(HaveOccurred())
@@ -182,10 +179,10 @@
 		}
 	})
 
-	// Symptom: nothing is served although half of the targets are sound.
-	// Sequence: all targets fail some requests. Cause: every one is set aside.
-	g.It("sets a failing target aside, but never most of a pool", func() {
-		f := newFixture(two(4)...)
+	// If all targets fail some requests and all were ejected, nothing would be served although half
+	// of the targets work.
+	g.It("ejects a failing target, but never most of a pool", func() {
+		f := newFixture(twoTargets(4)...)
 		for range 60 {
 			_, p, err := f.ask(nil)
 			if err != nil {
@@ -193,11 +190,11 @@
 			}
 			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Failed}, f.now)
 		}
-		Expect(f.capacity(100*time.Millisecond, f.now).does).To(BeNumerically(">", 0))
+		Expect(f.capacity(100*time.Millisecond, f.now).rateLimitedSlots).To(BeNumerically(">", 0))
 	})
 
-	g.It("lets one of several suspect requests through at a time, and refuses the others at once (guards against all of them ending a target)", func() {
-		f := newFixture(two(4)...)
+	g.It("lets one of several equal suspect requests through at a time, and refuses the others at once (guards against each of them crashing a target)", func() {
+		f := newFixture(twoTargets(4)...)
 		suspect := func(name uint64) func(*Ask) { return func(a *Ask) { a.Suspect = name } }
 		_, first, err := f.ask(suspect(7))
 		Expect(err).NotTo(HaveOccurred())
@@ -214,36 +211,36 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Symptom: a target's slots shrink until it gets nothing.
-	// Sequence: instances that hold permits are killed. Cause: nobody gives them back.
-	g.It("takes permits back after their deadline", func() {
+	// Instances that hold permits may crash. If nobody returned these, the target would have fewer
+	// and fewer slots.
+	g.It("reclaims permits after their deadline", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
-		f.now = f.now.Add(2*time.Second + overtime)
-		f.reclaim(f.now)
+		f.now = f.now.Add(2*time.Second + reclaimDelay)
+		f.reclaimExpired(f.now)
 		_, p, err := f.ask(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("a"))
 	})
 
-	// Symptom: a caller is refused only when its time is over. Sequence: the only target that it has not
-	// tried leaves, or wants nothing for a time. Cause: the request waited for a slot that it could not use.
-	g.It("refuses at once a request that is to avoid all targets", func() {
-		f := newFixture(two(1)...)
+	// If the only target that a request has not tried leaves or pauses, the request would wait for
+	// a slot that it cannot use, and be refused only at its deadline.
+	g.It("refuses at once a request that excludes all targets", func() {
+		f := newFixture(twoTargets(1)...)
 		_, _, err := f.ask(func(a *Ask) { a.Exclude = []string{"a", "b"} })
 		var refused *RefusedError
 		Expect(errors.As(err, &refused)).To(BeTrue())
 		Expect(refused.Reason).To(Equal(ReasonNoTarget))
 	})
 
-	g.It("says so when there is no target", func() {
+	g.It("refuses requests if there is no target", func() {
 		_, _, err := newFixture().ask(nil)
 		Expect(err).To(MatchError(ContainSubstring(ReasonNoTarget)))
 	})
 })
 
 var _ = g.Describe("a keeper", func() {
-	g.It("gives the slot of a caller that has gone to the next one", func() {
+	g.It("grants the slot of a caller that has gone away to the next one", func() {
 		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ask := func(id string) Ask {
 			return Ask{ID: id, Service: "s", Rule: "r", AimLeft: time.Second, Left: 2 * time.Second}
@@ -262,25 +259,24 @@
 })
 
 var _ = g.Describe("groups", func() {
-	many := func(count int) (list []Target) {
+	makeTargets := func(count int) (list []Target) {
 		for i := range count {
 			list = append(list, Target{ID: fmt.Sprint("t", i), DataCentre: fmt.Sprint("dc", i%5), Slots: 2})
 		}
 		return list
 	}
 
-	g.It("are one for a few targets", func() {
-		Expect(Groups(many(groupAbove))).To(HaveLen(1))
+	g.It("are not used for a few targets", func() {
+		Expect(Groups(makeTargets(maxUngroupedTargets))).To(HaveLen(1))
 	})
 
-	// Symptom: requests of a service without keys are late on all instances.
-	// Sequence: 74 targets, 1,600 messages a second to their one keeper, a small instance.
-	// Cause: one queue for all of them.
-	g.It("hold a dozen targets of one data centre each", func() {
-		list := many(74)
+	// With a single queue for 74 targets, their one keeper would handle 1,600 messages a second. On
+	// a small instance, the service's requests would be late on all instances.
+	g.It("have about a dozen targets of one data centre each", func() {
+		list := makeTargets(74)
 		slots := 0
 		for _, group := range Groups(list) {
-			Expect(group.Slots).To(BeNumerically("<=", 2*2*groupSize))
+			Expect(group.Slots).To(BeNumerically("<=", 2*2*targetsPerGroup))
 			Expect(group.DataCentre).NotTo(BeEmpty())
 			slots += group.Slots
 		}
@@ -288,27 +284,27 @@
 		Expect(len(Groups(list))).To(BeNumerically(">=", 8))
 	})
 
-	g.It("are asked at home first, and not while they are known to be full", func() {
-		groups := Groups(many(74))
+	g.It("are asked in the local data centre first, and not while they are known to be full", func() {
+		groups := Groups(makeTargets(74))
 		c := NewChooser(clock.System{}, "dc3")
-		Expect(c.Candidates("s", groups, abroad)[0].DataCentre).To(Equal("dc3"))
+		Expect(c.Candidates("s", groups, crossDataCentreBaseCost)[0].DataCentre).To(Equal("dc3"))
 		for _, group := range groups {
 			if group.DataCentre == "dc3" {
 				c.RecordWait("s", group.Name, time.Second)
 			}
 		}
-		for _, group := range c.Candidates("s", groups, abroad) {
+		for _, group := range c.Candidates("s", groups, crossDataCentreBaseCost) {
 			Expect(group.DataCentre).NotTo(Equal("dc3"))
 		}
 		for _, group := range groups {
 			c.RecordWait("s", group.Name, time.Second)
 		}
-		Expect(c.Candidates("s", groups, abroad)).To(BeEmpty())
+		Expect(c.Candidates("s", groups, crossDataCentreBaseCost)).To(BeEmpty())
 		c.RecordWait("s", groups[2].Name, 100*time.Millisecond)
-		Expect(c.ShortestWait("s", groups, abroad).Name).To(Equal(groups[2].Name))
+		Expect(c.ShortestWait("s", groups, crossDataCentreBaseCost).Name).To(Equal(groups[2].Name))
 	})
 
-	g.It("do not queue an ask for a free slot", func() {
+	g.It("do not queue an ask with NoQueue", func() {
 		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ask := func(id string) Ask {
 			return Ask{ID: id, Service: "s", Rule: "r", AimLeft: time.Second, Left: 2 * time.Second, NoQueue: true}
@@ -320,9 +316,9 @@
 	})
 })
 
-// BenchmarkAcquire measures a permit and its return, with a queue of none.
+// BenchmarkAcquire measures granting and returning a permit with an empty queue.
 func BenchmarkAcquire(b *testing.B) {
-	slots := two(6)
+	slots := twoTargets(6)
 	k := NewKeeper(clock.System{}, func(PoolID) []Target { return slots })
 	b.ReportAllocs()
 	for b.Loop() {
@@ -335,9 +331,9 @@
 }
 
 var _ = g.Describe("a keeper", func() {
-	// Symptom: an instance without a request uses a tenth of the processor time of a busy one. Cause:
-	// its keepers looked at their queues 100 times a second, whether there were any or not.
-	g.It("does nothing while no slot is in use, and looks again when one is", func() {
+	// If the queues were checked 100 times a second even while empty, an instance without requests
+	// would use a tenth of the processor time of a busy one.
+	g.It("does not check its queues while no slot is in use, and does so again when one is", func() {
 		k := NewKeeper(clock.System{}, func(PoolID) []Target { return []Target{{ID: "a", Slots: 1}} })
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -347,7 +343,7 @@
 			defer k.mu.Unlock()
 			return k.ticks
 		}
-		time.Sleep(5 * serveEvery)
+		time.Sleep(5 * serveInterval)
 		Expect(ticks()).To(BeZero())
 		for n := range 2 {
 			ask := Ask{ID: fmt.Sprint(n), Service: "s", Target: "a", Rule: "r", AimLeft: time.Second, Left: time.Second}
@@ -356,9 +352,9 @@
 			begun := ticks()
 			Eventually(ticks, "1s", "5ms").Should(BeNumerically(">", begun))
 			k.Release(ask.Pool(), Report{ID: p.ID, Target: "a", Rule: "r", Result: Served, Took: time.Millisecond})
-			time.Sleep(2 * serveEvery)
+			time.Sleep(2 * serveInterval)
 			idle := ticks()
-			time.Sleep(5 * serveEvery)
+			time.Sleep(5 * serveInterval)
 			Expect(ticks()).To(Equal(idle))
 		}
 	})
--- a/coordination/permit/pool.go
+++ b/coordination/permit/pool.go
@@ -8,350 +8,356 @@
 )
 
 const (
-	// smoothing is the weight of a new duration in the running mean.
+	// smoothing is the weight of a new value in a running mean.
 	smoothing = 0.1
-	// failureLimit is the share of failures from which on a target is set aside.
-	failureLimit = 0.5
-	// asideFor is how long a target without an answer is not used.
-	asideFor = 400 * time.Millisecond
-	// overtime is how long after its deadline a permit is taken back. The instance that
-	// has it gives up at the deadline; if it is gone nobody else would give it back.
-	overtime = 500 * time.Millisecond
-	// leastRetryAfter keeps refused callers from coming back before anything can have
-	// changed.
-	leastRetryAfter = 200 * time.Millisecond
+	// maxFailureRate is the failure rate above which a target is ejected.
+	maxFailureRate = 0.5
+	// ejectionTime is how long a target that failed or could not be reached is not used.
+	ejectionTime = 400 * time.Millisecond
+	// reclaimDelay is the time after its deadline at which a permit is reclaimed. The instance that
+	// has the permit gives up at the deadline; if it has crashed, nobody else returns the permit.
+	reclaimDelay = 500 * time.Millisecond
+	// minRetryAfter keeps refused callers from returning before anything can have changed.
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// slot is a target as its pool knows it.
-type slot struct {
+// poolTarget is the state of a target in a pool.
+type poolTarget struct {
 	Target
-	pace
-	inUse      int
-	failures   float64
-	asideUntil clock.Instant
-	usedAt     clock.Instant
-	listed     bool
-	// spaced says that requests are spaced since the target is cold; coldNext is when it may get the
-	// next one.
-	spaced   bool
-	coldNext clock.Instant
-	allowance
+	slownessEstimate
+	inUse        int
+	failureRate  float64
+	ejectedUntil clock.Instant
+	usedAt       clock.Instant
+	listed       bool
+	// coldSpaced is true while requests are spaced because the target is cold; nextColdSend is when
+	// it may get the next one.
+	coldSpaced   bool
+	nextColdSend clock.Instant
+	rateLimit
 }
 
-// use is a permit that has been handed out.
-type use struct {
-	target   string
-	rule     string
-	begun    clock.Instant
-	deadline clock.Instant
-	// expected is the time that the request should take at an average target, slowness how many times
-	// as long its target was believed to take.
+// grantedPermit is a permit that has been granted and not been returned yet.
+type grantedPermit struct {
+	target    string
+	rule      string
+	grantedAt clock.Instant
+	deadline  clock.Instant
+	// expected is the time that the request should take at an average target; slowness is the
+	// estimated slowness of its target when the permit was granted.
 	expected time.Duration
 	slowness float64
-	// suspect names the request if a target has ended under it.
+	// suspect identifies the request if a target has crashed during it, see Ask.Suspect.
 	suspect uint64
 }
 
-// pool hands out the slots of one target, or of the targets that serve the same.
+// pool hands out the slots of one target, or of interchangeable targets.
 type pool struct {
-	slots   map[string]*slot
-	order   []*slot
+	targets map[string]*poolTarget
+	current []*poolTarget
 	waiting []*waiter
-	uses    map[string]use
-	// means is the mean duration of each rule's requests at a target of average speed.
-	means map[string]time.Duration
+	granted map[string]grantedPermit
+	// meanDurations are the mean durations of each rule's requests at a target of average speed.
+	meanDurations map[string]time.Duration
 }
 
 func newPool() *pool {
-	return &pool{slots: map[string]*slot{}, uses: map[string]use{}, means: map[string]time.Duration{}}
+	return &pool{targets: map[string]*poolTarget{}, granted: map[string]grantedPermit{}, meanDurations: map[string]time.Duration{}}
 }
 
-// setSlots takes the targets that are there now.
-func (p *pool) setSlots(list []Target, now clock.Instant) {
-	for _, s := range p.slots {
-		s.listed = false
+// setTargets replaces the list of targets. A target that is no longer listed is kept until its
+// permits are returned.
+func (p *pool) setTargets(list []Target, now clock.Instant) {
+	for _, t := range p.targets {
+		t.listed = false
 	}
-	p.order = p.order[:0]
-	for _, given := range list {
-		s := p.slots[given.ID]
-		if s == nil {
-			s = &slot{pace: newPace(), asideUntil: clock.Never, usedAt: clock.Never, allowance: allowance{heardAt: clock.Never}}
-			p.slots[given.ID] = s
+	p.current = p.current[:0]
+	for _, current := range list {
+		t := p.targets[current.ID]
+		if t == nil {
+			t = &poolTarget{slownessEstimate: newSlownessEstimate(), ejectedUntil: clock.Never, usedAt: clock.Never, rateLimit: rateLimit{statedAt: clock.Never}}
+			p.targets[current.ID] = t
 		}
-		s.Target = given
-		s.listed = true
-		s.noteCold(now)
-		p.order = append(p.order, s)
+		t.Target = current
+		t.listed = true
+		t.updateCold(now)
+		p.current = append(p.current, t)
 	}
-	for id, s := range p.slots {
-		if !s.listed && s.inUse == 0 {
-			delete(p.slots, id)
+	for id, t := range p.targets {
+		if !t.listed && t.inUse == 0 {
+			delete(p.targets, id)
 		}
 	}
 }
 
-// expected returns how long a request of a rule should take at an average target.
-func (p *pool) expected(a Ask) time.Duration {
-	if mean, ok := p.means[a.Rule]; ok {
+// expectedDuration returns how long a request of the ask's rule should take at an average target.
+func (p *pool) expectedDuration(a Ask) time.Duration {
+	if mean, ok := p.meanDurations[a.Rule]; ok {
 		return mean
 	}
-	const guess = 100 * time.Millisecond
-	return guess
+	const defaultDuration = 100 * time.Millisecond
+	return defaultDuration
 }
 
-// tries reports whether a suspect request of a name is at a target now.
-func (p *pool) tries(suspect uint64) bool {
+// isRunning reports whether a request with the given suspect ID is running at a target now.
+func (p *pool) isRunning(suspect uint64) bool {
 	if suspect == 0 {
 		return false
 	}
-	for _, u := range p.uses {
-		if u.suspect == suspect {
+	for _, g := range p.granted {
+		if g.suspect == suspect {
 			return true
 		}
 	}
 	return false
 }
 
-// pick returns the target to which the request should go now, or nil if it should wait.
-func (p *pool) pick(w *waiter, now clock.Instant) *slot {
-	if p.tries(w.ask.Suspect) {
+// pickTarget returns the target that the request should be sent to now, or nil if it should wait.
+func (p *pool) pickTarget(w *waiter, now clock.Instant) *poolTarget {
+	if p.isRunning(w.ask.Suspect) {
 		return nil
 	}
-	best := p.best(w, now)
-	if best != nil && best.DataCentre != w.ask.DataCentre && p.betterAtHome(w, now) {
+	best := p.bestTarget(w, now)
+	if best != nil && best.DataCentre != w.ask.DataCentre && p.shouldWaitLocally(w, now) {
 		return nil
 	}
 	return best
 }
 
-// best returns the free target that should answer first, all told.
-func (p *pool) best(w *waiter, now clock.Instant) *slot {
-	var best *slot
-	bestTime := time.Duration(0)
-	measured := slices.ContainsFunc(p.order, func(s *slot) bool { return s.measuredAt != clock.Never })
-	for _, s := range p.order {
-		if s.inUse >= s.Slots || now < s.asideUntil || s.awaitsTurn(now) || slices.Contains(w.ask.Exclude, s.ID) {
+// bestTarget returns the target with a free slot that is expected to answer first, or nil.
+func (p *pool) bestTarget(w *waiter, now clock.Instant) *poolTarget {
+	var best *poolTarget
+	bestExpected := time.Duration(0)
+	measured := slices.ContainsFunc(p.current, func(t *poolTarget) bool { return t.measuredAt != clock.Never })
+	for _, t := range p.current {
+		if t.inUse >= t.Slots || now < t.ejectedUntil || t.mustWait(now) || slices.Contains(w.ask.Exclude, t.ID) {
 			continue
 		}
-		if s.measuredAt == clock.Never && s.inUse > 0 && measured {
+		if t.measuredAt == clock.Never && t.inUse > 0 && measured {
 			continue
 		}
-		slowness := s.believedSlowness(now)
-		if s.measuredAt == clock.Never {
-			slowness = untried
+		slowness := t.currentSlowness(now)
+		if t.measuredAt == clock.Never {
+			slowness = untriedSlowness
 		}
-		took := time.Duration(float64(w.expected) * slowness * (1 + s.failures))
-		if s.DataCentre != w.ask.DataCentre {
-			took += w.ask.Abroad
+		expected := time.Duration(float64(w.expected) * slowness * (1 + t.failureRate))
+		if t.DataCentre != w.ask.DataCentre {
+			expected += w.ask.Abroad
 		}
-		if len(p.order) > 1 && now.Add(took) > w.deadline {
+		if len(p.current) > 1 && now.Add(expected) > w.deadline {
 			continue
 		}
-		if best == nil || s.better(took, best, bestTime) {
-			best, bestTime = s, took
+		if best == nil || t.betterThan(expected, best, bestExpected) {
+			best, bestExpected = t, expected
 		}
 	}
 	return best
 }
 
-// alike is the ratio of two expected times that count as the same. How fast a target is
-// shows only when it is used, so that among equals the one is taken that was used least.
-const alike = 1.15
+// similarRatio is the ratio up to which two expected durations count as equal. The speed of a
+// target is known only while it is used, so among equal targets the least used one is chosen.
+const similarRatio = 1.15
 
-func (s *slot) better(took time.Duration, other *slot, otherTook time.Duration) bool {
-	if float64(took)*alike < float64(otherTook) || float64(otherTook)*alike < float64(took) {
-		return took < otherTook
+// betterThan reports whether the target is a better choice than another one, given the expected
+// durations at both.
+func (t *poolTarget) betterThan(expected time.Duration, other *poolTarget, otherExpected time.Duration) bool {
+	if float64(expected)*similarRatio < float64(otherExpected) || float64(otherExpected)*similarRatio < float64(expected) {
+		return expected < otherExpected
 	}
-	if a, b := s.inUse*other.Slots, other.inUse*s.Slots; a != b {
+	if a, b := t.inUse*other.Slots, other.inUse*t.Slots; a != b {
 		return a < b
 	}
-	return s.usedAt < other.usedAt
+	return t.usedAt < other.usedAt
 }
 
-// admit decides about a new ask: a permit, a place in the queue, or a refusal.
+// admit decides about a new ask: it grants a permit, queues the ask or refuses it.
 func (p *pool) admit(w *waiter, now clock.Instant) (granted Permit, queued bool, err error) {
-	if len(p.order) == 0 {
+	if len(p.current) == 0 {
 		return Permit{}, false, &RefusedError{Reason: ReasonNoTarget, RetryAfter: time.Second}
 	}
-	if !p.serves(w) {
+	if !p.hasEligibleTarget(w) {
 		return Permit{}, false, &RefusedError{Reason: ReasonNoTarget, RetryAfter: time.Second}
 	}
-	w.took = time.Duration(float64(w.expected) * p.slowness(now))
-	if p.tries(w.ask.Suspect) {
-		return Permit{}, false, &RefusedError{Reason: ReasonSuspect, RetryAfter: max(leastRetryAfter, w.took)}
+	w.expectedNow = time.Duration(float64(w.expected) * p.meanSlowness(now))
+	if p.isRunning(w.ask.Suspect) {
+		return Permit{}, false, &RefusedError{Reason: ReasonSuspect, RetryAfter: max(minRetryAfter, w.expectedNow)}
 	}
-	if s := p.pick(w, now); s != nil && !p.outranked(w, now) {
-		return p.grant(w, s, now), false, nil
+	if t := p.pickTarget(w, now); t != nil && !p.outranked(w, now) {
+		return p.grant(w, t, now), false, nil
 	}
-	wait := p.wait(w, now)
+	wait := p.estimateWait(w, now)
 	if w.ask.NoQueue {
 		return Permit{}, false, &RefusedError{Reason: ReasonBusy, RetryAfter: max(wait, time.Millisecond)}
 	}
-	if now.Add(wait) > p.worthUntil(w) {
-		return Permit{}, false, &RefusedError{Reason: ReasonFull, RetryAfter: max(leastRetryAfter, wait)}
+	if now.Add(wait) > p.latestGrant(w) {
+		return Permit{}, false, &RefusedError{Reason: ReasonFull, RetryAfter: max(minRetryAfter, wait)}
 	}
 	p.waiting = append(p.waiting, w)
 	return Permit{}, true, nil
 }
 
-// serves reports whether there is a target that a request is not to avoid. One without would wait in the
-// queue until its time is over.
-func (p *pool) serves(w *waiter) bool {
-	return slices.ContainsFunc(p.order, func(s *slot) bool { return !slices.Contains(w.ask.Exclude, s.ID) })
+// hasEligibleTarget reports whether there is a target that the request does not exclude. Without
+// one, the request would wait in the queue until its deadline.
+func (p *pool) hasEligibleTarget(w *waiter) bool {
+	return slices.ContainsFunc(p.current, func(t *poolTarget) bool { return !slices.Contains(w.ask.Exclude, t.ID) })
 }
 
-// worthUntil is until when a request must have a slot to be queued. While there is more work than slots,
-// each request that is served late keeps a later one from being served in time, so that in the end all are
-// late; so only those are queued that may still be in time. How long requests take varies so much that one
-// that gets its slot within its aim often is. A request that has been refused before is let in up to its
-// deadline.
+// latestGrant returns the latest time at which a request must get a slot to be queued now. While
+// there is more work than capacity, each request that is served late delays a later one, until all
+// are late. So only requests that may still be in time are queued. The durations of requests vary
+// so much that a request that gets its slot within its aim is often answered in time. A request
+// that has been refused before is queued up to its deadline.
 //
-// Where all targets name limits the wait for a turn is known beforehand. A request that would be late is then
-// refused at once: the turn is left to one that comes when it is there.
-func (p *pool) worthUntil(w *waiter) clock.Instant {
+// If all targets state limits, the wait is known in advance. A request that would be late is then
+// refused at once, which leaves the slot to a request that arrives when it is free.
+func (p *pool) latestGrant(w *waiter) clock.Instant {
 	if w.ask.Returning || w.aim <= w.arrived {
 		return w.deadline
 	}
 	if p.allLimited() {
-		return w.aim.Add(-w.took)
+		return w.aim.Add(-w.expectedNow)
 	}
 	return w.aim
 }
 
-// outranked reports whether others in the queue come before the request.
+// outranked reports whether another request in the queue precedes this one and could be sent now.
 func (p *pool) outranked(w *waiter, now clock.Instant) bool {
-	return slices.ContainsFunc(p.waiting, func(v *waiter) bool { return v.before(w, now) && p.pick(v, now) != nil })
+	return slices.ContainsFunc(p.waiting, func(other *waiter) bool { return other.precedes(w, now) && p.pickTarget(other, now) != nil })
 }
 
-func (p *pool) grant(w *waiter, s *slot, now clock.Instant) Permit {
-	s.inUse++
-	s.usedAt = now
-	s.took(now)
-	p.uses[w.ask.ID] = use{
-		target: s.ID, rule: w.ask.Rule, begun: now, deadline: w.deadline,
-		expected: w.expected, slowness: s.believedSlowness(now), suspect: w.ask.Suspect,
+// grant gives the request a slot of the target.
+func (p *pool) grant(w *waiter, t *poolTarget, now clock.Instant) Permit {
+	t.inUse++
+	t.usedAt = now
+	t.recordSend(now)
+	p.granted[w.ask.ID] = grantedPermit{
+		target: t.ID, rule: w.ask.Rule, grantedAt: now, deadline: w.deadline,
+		expected: w.expected, slowness: t.currentSlowness(now), suspect: w.ask.Suspect,
 	}
-	return Permit{ID: w.ask.ID, Target: s.ID, Waited: now.Sub(w.arrived)}
+	return Permit{ID: w.ask.ID, Target: t.ID, Waited: now.Sub(w.arrived)}
 }
 
-// serve hands free slots to the queue, and refuses what will not be served in time any more:
-// more urgent requests may have come since it was queued. Holding it until its time is over
-// would leave its caller none to come back in.
-func (p *pool) serve(now clock.Instant) {
-	slowness := p.slowness(now)
+// serveQueue grants free slots to queued requests, and refuses requests that can no longer be
+// served in time because more urgent ones have arrived since they were queued. If these were held
+// until their deadline, their callers would have no time left to retry.
+func (p *pool) serveQueue(now clock.Instant) {
+	slowness := p.meanSlowness(now)
 	for _, w := range p.waiting {
-		w.took = time.Duration(float64(w.expected) * slowness)
+		w.expectedNow = time.Duration(float64(w.expected) * slowness)
 	}
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
 		switch {
-		case a.before(b, now):
+		case a.precedes(b, now):
 			return -1
-		case b.before(a, now):
+		case b.precedes(a, now):
 			return 1
 		}
 		return 0
 	})
-	rest := p.waiting[:0]
-	running, ahead := p.running(now), time.Duration(0)
+	remaining := p.waiting[:0]
+	running, ahead := p.remainingWork(now), time.Duration(0)
 	for _, w := range p.waiting {
-		if s := p.pick(w, now); s != nil && now.Add(w.took/2) <= w.deadline {
-			w.done <- answer{permit: p.grant(w, s, now)}
+		if t := p.pickTarget(w, now); t != nil && now.Add(w.expectedNow/2) <= w.deadline {
+			w.done <- decision{permit: p.grant(w, t, now)}
 			ahead += w.expected
 			continue
 		}
-		if wait := p.capacity(w.expected, now).wait(running, ahead); now.Add(wait+w.took/2) > w.deadline {
-			w.done <- answer{err: &RefusedError{Reason: ReasonLate, RetryAfter: max(leastRetryAfter, wait)}}
+		if wait := p.capacity(w.expected, now).estimateWait(running, ahead); now.Add(wait+w.expectedNow/2) > w.deadline {
+			w.done <- decision{err: &RefusedError{Reason: ReasonLate, RetryAfter: max(minRetryAfter, wait)}}
 			continue
 		}
 		ahead += w.expected
-		rest = append(rest, w)
+		remaining = append(remaining, w)
 	}
-	clear(p.waiting[len(rest):])
-	p.waiting = rest
+	clear(p.waiting[len(remaining):])
+	p.waiting = remaining
 }
 
-// report takes a permit back and learns from what became of the request.
+// report takes a permit back and updates the statistics with the result of the request.
 func (p *pool) report(r Report, now clock.Instant) {
-	u, ok := p.uses[r.ID]
+	g, ok := p.granted[r.ID]
 	if !ok {
 		return
 	}
-	delete(p.uses, r.ID)
-	s := p.slots[u.target]
-	if s == nil {
+	delete(p.granted, r.ID)
+	t := p.targets[g.target]
+	if t == nil {
 		return
 	}
-	s.inUse--
-	p.learn(s, u, r, now)
+	t.inUse--
+	p.recordResult(t, g, r, now)
 	if r.Heard {
-		s.heardLimit(r.Limit, now, now)
+		t.setLimit(r.Limit, now, now)
 	}
 }
 
-func (p *pool) learn(s *slot, u use, r Report, now clock.Instant) {
+// recordResult updates the slowness and the failure rate of a target, and ejects the target if
+// necessary.
+func (p *pool) recordResult(s *poolTarget, g grantedPermit, r Report, now clock.Instant) {
 	if r.Slowness > 0 {
-		s.heard(r.Slowness, now)
+		s.recordReported(r.Slowness, now)
 	}
 	switch r.Result {
 	case Served:
-		s.failures *= 1 - smoothing
-		p.learnTime(s, u.rule, r, now)
+		s.failureRate *= 1 - smoothing
+		p.recordDuration(s, g.rule, r, now)
 	case Failed, Shed:
-		s.failures = s.failures*(1-smoothing) + smoothing
-		if s.failures > failureLimit && p.mayRest(now) {
-			s.asideUntil = now.Add(asideFor)
+		s.failureRate = s.failureRate*(1-smoothing) + smoothing
+		if s.failureRate > maxFailureRate && p.mayEject(now) {
+			s.ejectedUntil = now.Add(ejectionTime)
 		}
 	case Unreachable:
-		if p.mayRest(now) {
-			s.asideUntil = now.Add(asideFor)
+		if p.mayEject(now) {
+			s.ejectedUntil = now.Add(ejectionTime)
 		}
 	case Dropped:
 	}
 }
 
-// learnTime learns from the time of an answer: how long the rule's requests take at an average target,
-// and, where the target does not say so, how slow it is.
-func (p *pool) learnTime(s *slot, rule string, r Report, now clock.Instant) {
-	mean := p.means[rule]
+// recordDuration updates the mean duration of the rule's requests at an average target, and, if the
+// target does not state its slowness, the target's measured slowness.
+func (p *pool) recordDuration(s *poolTarget, rule string, r Report, now clock.Instant) {
+	mean := p.meanDurations[rule]
 	if r.Slowness > 0 {
 		took := float64(r.Took) / r.Slowness
 		if mean == 0 {
 			mean = time.Duration(took)
 		}
-		p.means[rule] = time.Duration(float64(mean)*(1-smoothing/4) + took*smoothing/4)
+		p.meanDurations[rule] = time.Duration(float64(mean)*(1-smoothing/4) + took*smoothing/4)
 		return
 	}
 	if mean == 0 {
-		p.means[rule] = r.Took
+		p.meanDurations[rule] = r.Took
 		s.measuredAt = now
 		return
 	}
-	s.pace.learn(float64(r.Took)/float64(mean), now)
-	p.means[rule] = time.Duration(float64(mean)*(1-smoothing/4) + float64(r.Took)/s.slowness*smoothing/4)
+	s.slownessEstimate.record(float64(r.Took)/float64(mean), now)
+	p.meanDurations[rule] = time.Duration(float64(mean)*(1-smoothing/4) + float64(r.Took)/s.meanSlowness*smoothing/4)
 }
 
-// mayRest reports whether one more target may be set aside: never most of a pool, since
-// then it is not the targets that are at fault, or nothing is gained by it.
-func (p *pool) mayRest(now clock.Instant) bool {
-	aside := 0
-	for _, s := range p.order {
-		if now < s.asideUntil {
-			aside++
+// mayEject reports whether one more target may be ejected. At most half of the targets of a pool
+// are ejected: if more fail, the fault is probably not theirs, or nothing is gained by avoiding
+// them.
+func (p *pool) mayEject(now clock.Instant) bool {
+	ejected := 0
+	for _, t := range p.current {
+		if now < t.ejectedUntil {
+			ejected++
 		}
 	}
-	return 2*(aside+1) <= len(p.order)
+	return 2*(ejected+1) <= len(p.current)
 }
 
-// reclaim takes back permits whose holder must have given up.
-func (p *pool) reclaim(now clock.Instant) {
-	for id, u := range p.uses {
-		if now >= u.deadline.Add(overtime) {
-			p.report(Report{ID: id, Target: u.target, Result: Dropped}, now)
+// reclaimExpired takes back permits whose holders must have given up.
+func (p *pool) reclaimExpired(now clock.Instant) {
+	for id, g := range p.granted {
+		if now >= g.deadline.Add(reclaimDelay) {
+			p.report(Report{ID: id, Target: g.target, Result: Dropped}, now)
 		}
 	}
 }
 
-// abandon removes an ask whose caller has gone, whether it waits or has its permit.
+// abandon removes an ask whose caller has gone away, whether it is queued or has a permit.
 func (p *pool) abandon(id string, now clock.Instant) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *waiter) bool { return w.ask.ID == id })
 	p.report(Report{ID: id, Result: Dropped}, now)
--- /dev/null
+++ b/coordination/permit/simulation_test.go
@@ -0,0 +1,209 @@
+package permit
+
+import (
+	"cmp"
+	"errors"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"lycheehall.example/lycheehall/clock"
+)
+
+// simulation is a load on a pool in virtual time, with callers that retry when they are refused,
+// and targets that are disturbed a fifth of the time and then take three times as long.
+type simulation struct {
+	traffic []traffic
+	// perSecond is the number of requests a second.
+	perSecond float64
+	seconds   int
+	targets   []Target
+	// reportsSlowness says that the targets state their slowness.
+	reportsSlowness bool
+}
+
+// traffic describes the requests of a rule.
+type traffic struct {
+	rule      string
+	priority  int
+	share     float64
+	work, aim time.Duration
+	// timeout is how long the callers wait in total.
+	timeout time.Duration
+}
+
+const (
+	simulationStep = time.Millisecond
+	disturbedEvery = 400 * time.Millisecond
+	disturbedShare = 0.2
+	disturbedBy    = 3
+	// workSpread is the sigma of the lognormal distribution of a request's work.
+	workSpread = 0.8
+	// maxReturns is how often a refused caller retries.
+	maxReturns = 2
+)
+
+// request is a caller's request in progress.
+type request struct {
+	traffic *traffic
+	first   clock.Instant
+	work    time.Duration
+	tries   int
+	at      clock.Instant
+	took    time.Duration
+	waiter  *waiter
+	permit  Permit
+}
+
+// run runs the simulation and returns the fraction of each rule's requests that was answered within
+// its aim.
+func (p simulation) run(seed uint64) map[string]float64 {
+	r := &simulationRun{
+		simulation: p, fixture: newFixture(p.targets...), random: rand.New(rand.NewPCG(seed, seed)),
+		slowness: map[string]float64{}, sent: map[string]int{}, inTime: map[string]int{},
+	}
+	next := start
+	for r.now = start; r.now < start.Add(time.Duration(p.seconds)*time.Second); r.now = r.now.Add(simulationStep) {
+		if r.now.Sub(start)%disturbedEvery == 0 {
+			r.disturb()
+		}
+		r.running = due(r.running, r.now, r.answered)
+		r.serveQueue(r.now)
+		r.collect()
+		r.backingOff = due(r.backingOff, r.now, r.send)
+		for next <= r.now {
+			r.arrive()
+			next = next.Add(time.Duration(r.random.ExpFloat64() / p.perSecond * float64(time.Second)))
+		}
+	}
+	shares := map[string]float64{}
+	for rule, n := range r.sent {
+		shares[rule] = float64(r.inTime[rule]) / float64(n)
+	}
+	return shares
+}
+
+// simulationRun is a simulation in progress.
+type simulationRun struct {
+	simulation
+	*fixture
+	random *rand.Rand
+	// slowness is the current slowness of each target.
+	slowness map[string]float64
+	// waiting requests are queued, running ones are at a target, and backingOff ones were refused
+	// and will retry.
+	waiting, running, backingOff []*request
+	sent, inTime                 map[string]int
+}
+
+// disturb chooses anew which targets are disturbed.
+func (r *simulationRun) disturb() {
+	for _, s := range r.simulation.targets {
+		r.slowness[s.ID] = 1
+		if r.random.Float64() < disturbedShare {
+			r.slowness[s.ID] = disturbedBy
+		}
+	}
+}
+
+// arrive creates a new request.
+func (r *simulationRun) arrive() {
+	t := r.pickTraffic(r.random)
+	r.sent[t.rule]++
+	scale := math.Exp(r.random.NormFloat64()*workSpread - workSpread*workSpread/2)
+	r.send(&request{traffic: t, first: r.now, work: time.Duration(float64(t.work) * scale)})
+}
+
+// send asks for a permit for a request.
+func (r *simulationRun) send(q *request) {
+	w, p, err := r.ask(func(a *Ask) {
+		a.Rule, a.Priority, a.DataCentre = q.traffic.rule, q.traffic.priority, "dc1"
+		a.AimLeft, a.Left = q.first.Add(q.traffic.aim).Sub(r.now), q.first.Add(q.traffic.timeout).Sub(r.now)
+		a.Returning = q.tries > 0
+	})
+	q.waiter = w
+	switch {
+	case err != nil:
+		r.refused(q, err)
+	case p.Target != "":
+		r.begin(q, p)
+	default:
+		r.waiting = append(r.waiting, q)
+	}
+}
+
+func (r *simulationRun) begin(q *request, p Permit) {
+	q.permit = p
+	q.took = time.Duration(float64(q.work) * r.slowness[p.Target])
+	q.at = r.now.Add(q.took)
+	r.running = append(r.running, q)
+}
+
+// refused schedules the retry of a refused request, if its caller has enough time left.
+func (r *simulationRun) refused(q *request, err error) {
+	var full *RefusedError
+	if !errors.As(err, &full) || q.tries >= maxReturns || r.now.Add(full.RetryAfter) > q.first.Add(q.traffic.timeout) {
+		return
+	}
+	q.tries++
+	q.at = r.now.Add(full.RetryAfter)
+	r.backingOff = append(r.backingOff, q)
+}
+
+// answered ends a request at its target.
+func (r *simulationRun) answered(q *request) {
+	report := Report{ID: q.permit.ID, Target: q.permit.Target, Rule: q.traffic.rule, Result: Served, Took: q.took}
+	if r.reportsSlowness {
+		report.Slowness = r.slowness[q.permit.Target]
+	}
+	r.report(report, r.now)
+	if r.now.Sub(q.first) <= q.traffic.aim {
+		r.inTime[q.traffic.rule]++
+	}
+}
+
+// collect takes the decisions about queued requests.
+func (r *simulationRun) collect() {
+	r.waiting = slices.DeleteFunc(r.waiting, func(q *request) bool {
+		select {
+		case a := <-q.waiter.done:
+			if a.err != nil {
+				r.refused(q, a.err)
+			} else {
+				r.begin(q, a.permit)
+			}
+			return true
+		default:
+			return false
+		}
+	})
+}
+
+// due calls do for the requests whose time has come, the earliest first, and returns the others.
+func due(list []*request, now clock.Instant, do func(*request)) (rest []*request) {
+	var ready []*request
+	for _, r := range list {
+		if r.at <= now {
+			ready = append(ready, r)
+		} else {
+			rest = append(rest, r)
+		}
+	}
+	slices.SortFunc(ready, func(a, b *request) int { return cmp.Compare(a.at, b.at) })
+	for _, r := range ready {
+		do(r)
+	}
+	return rest
+}
+
+// pickTraffic selects one of the simulated kinds of requests by their shares.
+func (p simulation) pickTraffic(random *rand.Rand) *traffic {
+	x := random.Float64()
+	for i := range p.traffic {
+		if x -= p.traffic[i].share; x < 0 {
+			return &p.traffic[i]
+		}
+	}
+	return &p.traffic[len(p.traffic)-1]
+}
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -12,33 +12,34 @@
 type Ask struct {
 	// ID is unique to the asking instance's attempt.
 	ID string
-	// Service and Target say whose slots are asked for. Without a target any one of the
-	// service's will do, but for those in Exclude.
+	// Service and Target say whose slots are asked for. If Target is empty, any target of the
+	// service except those in Exclude will do.
 	Service string
 	Target  string
 	Exclude []string
-	// Group is the part of a service's targets that is asked for; see Groups.
+	// Group is the group of the service's targets that is asked for; see Groups.
 	Group string
-	// NoQueue asks for a free slot only: without one the ask is refused as busy.
+	// NoQueue asks for a free slot only: if there is none, the ask is refused with ReasonBusy.
 	NoQueue bool
 	Rule    string
-	// Priority is the rule's rank; 0 goes first.
+	// Priority is the rule's priority; 0 is the most urgent.
 	Priority int
-	// AimLeft is the time left within which an answer is of full use. It is negative when
-	// the caller has waited for longer than that.
+	// AimLeft is the remaining time within which the request should be answered. It is negative if
+	// the caller has already waited longer.
 	AimLeft time.Duration
-	// Left is the time left until the request is given up.
+	// Left is the remaining time until the request is given up.
 	Left time.Duration
-	// Returning says that the caller has been refused before and came back as told.
+	// Returning says that the caller was refused before and has retried after the time that the refusal stated.
 	Returning bool
-	// DataCentre is the asking instance's; targets there are preferred.
+	// DataCentre is the data centre of the asking instance; targets in it are preferred.
 	DataCentre string
-	// Abroad is what a target in another data centre is counted slower; see AbroadCost.
+	// Abroad is the time by which a target in another data centre counts as slower; see
+	// CrossDataCentreCost.
 	Abroad time.Duration
-	// Suspect names a request under which a target has ended: of those of one name one is let through at a
-	// time, since it may end each target that it reaches; 0: none has.
+	// Suspect identifies a request during which a target has crashed; 0 if none has. Of the
+	// requests with the same ID only one is let through at a time, since each may crash its target.
 	Suspect uint64
-	// Limits are the limits that targets of the pool have named to the asking instance.
+	// Limits are the limits that targets of the pool have stated to the asking instance.
 	Limits []targetstatus.Limit
 }
 
@@ -50,62 +51,63 @@
 	Waited time.Duration
 }
 
-// Result is what became of the request that a permit was for.
+// Result is the outcome of the request that a permit was for.
 type Result string
 
 // The results that a keeper learns from.
 const (
 	// Served: the target answered.
 	Served Result = "served"
-	// Failed: the target answered with a failure, or broke off.
+	// Failed: the target answered with a failure, or closed the connection early.
 	Failed Result = "failed"
 	// Shed: the target said that it did not run the request.
 	Shed Result = "shed"
-	// Unreachable: no connection could be made.
+	// Unreachable: no connection to the target could be made.
 	Unreachable Result = "unreachable"
 	// Dropped: the request was given up, which says nothing about the target.
 	Dropped Result = "dropped"
 )
 
-// Report gives a permit back.
+// Report returns a permit, with the outcome of its request.
 type Report struct {
 	ID     string
 	Target string
 	Rule   string
 	Result Result
 	Took   time.Duration
-	// Slowness is how many times as long as usual work takes at the target now, by its own word; 0: it
-	// does not say.
+	// Slowness is how long work takes at the target now relative to usual, as stated by the target;
+	// 0 if it states none.
 	Slowness float64
-	// Heard says that the target has answered; Limit is then how many requests a second it takes from all
-	// instances together, 0: it names no limit.
+	// Heard says that the target has answered. Limit is then how many requests a second it accepts
+	// from all instances together; 0 means no limit.
 	Heard bool
 	Limit float64
 }
 
-// RefusedError says that there is no room for a request.
+// RefusedError says that a request gets no permit.
 type RefusedError struct {
 	Reason string
-	// RetryAfter is when there should be room.
+	// RetryAfter is the time after which a slot should be free.
 	RetryAfter time.Duration
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("permit: refused: %s, room in %v", e.Reason, e.RetryAfter)
+	return fmt.Sprintf("permit: refused: %s, retry after %v", e.Reason, e.RetryAfter)
 }
 
-// Reasons of refusals.
+// Reasons for refusals.
 const (
-	// ReasonFull: the queue is too long for the time that the request has.
+	// ReasonFull: the wait in the queue is longer than the request has time for.
 	ReasonFull = "full"
-	// ReasonNoTarget: no target of the service is there.
+	// ReasonNoTarget: the service has no target that the ask allows.
 	ReasonNoTarget = "no-target"
-	// ReasonBusy: no slot is free, and the ask is not to be queued. RetryAfter is how long it
-	// would wait.
+	// ReasonBusy: no slot is free and the ask is not to be queued. RetryAfter is how long it would
+	// wait.
 	ReasonBusy = "busy"
-	// ReasonSuspect: a target has ended under the request, and another one like it is at a target now.
+	// ReasonSuspect: a target has crashed during this request, and another request with the same
+	// suspect ID is running now.
 	ReasonSuspect = "suspect"
-	// ReasonLate: the request waited and its time is now too short.
+	// ReasonLate: the request has waited, and too little of its time is left.
 	ReasonLate = "late"
 )
 
@@ -114,49 +116,51 @@
 	ID         string
 	DataCentre string
 	Slots      int
-	// ColdUntil is until when the target is cold.
+	// ColdUntil is when the target stops being cold.
 	ColdUntil clock.Instant
-	// ColdRate is how many requests a second it bears until then; 0: no bound is known.
+	// ColdRate is how many requests a second the target takes while it is cold; 0 means unlimited.
 	ColdRate float64
 }
 
-// Cold reports whether the target bears no more than its cold rate now.
-func (s Target) Cold(now clock.Instant) bool { return s.ColdRate > 0 && now < s.ColdUntil }
+// Cold reports whether the target is limited to its cold rate now.
+func (t Target) Cold(now clock.Instant) bool { return t.ColdRate > 0 && now < t.ColdUntil }
 
-// waiter is an ask in the queue.
+// waiter is an ask and its place in the queue.
 type waiter struct {
 	ask      Ask
 	arrived  clock.Instant
 	aim      clock.Instant
 	deadline clock.Instant
-	// expected is the time that the request should take at an average target, took at those of its
-	// pool as they are now.
-	expected, took time.Duration
-	done           chan answer
+	// expected is the time that the request should take at an average target; expectedNow is the
+	// time at the current mean slowness of the pool.
+	expected, expectedNow time.Duration
+	done                  chan decision
 }
 
-type answer struct {
+// decision is the final result of an ask.
+type decision struct {
 	permit Permit
 	err    error
 }
 
-// before orders the queue: those that can still be answered within their aim first, and then by their
-// turn. With rank before all else the less urgent half of the requests for a few slots waits for all of the
-// other half, and is late at loads at which both would mostly be in time.
-func (w *waiter) before(v *waiter, now clock.Instant) bool {
-	if a, b := w.inTime(now), v.inTime(now); a != b {
+// precedes reports whether w comes before other in the queue. Requests that can still be answered
+// within their aim come first, and then the order is by effectiveArrival. Strict priority would
+// make the less urgent half of the requests for a few slots wait for the whole other half, and be
+// late under loads at which most of both could be in time.
+func (w *waiter) precedes(other *waiter, now clock.Instant) bool {
+	if a, b := w.inTime(now), other.inTime(now); a != b {
 		return a
 	}
-	return w.turn() < v.turn()
+	return w.effectiveArrival() < other.effectiveArrival()
 }
 
-// turn is when the request comes up among those that are in time: each rank waits for the time of a request
-// longer than the one above it.
-func (w *waiter) turn() clock.Instant {
+// effectiveArrival returns the arrival time that orders requests which are in time: each step down
+// in priority adds the expected duration of the request.
+func (w *waiter) effectiveArrival() clock.Instant {
 	return w.arrived.Add(time.Duration(w.ask.Priority) * w.expected)
 }
 
-// inTime reports whether the request would be answered within its aim if it were sent now.
+// inTime reports whether the request would probably be answered within its aim if it were sent now.
 func (w *waiter) inTime(now clock.Instant) bool {
-	return now.Add(w.took/2) < w.aim
+	return now.Add(w.expectedNow/2) < w.aim
 }
