--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,20 +1,21 @@
-// Package quarantine knows under which requests targets have ended, and which requests are to reach
-// no target any more.
+// Package quarantine records during which requests targets have crashed, and which requests must
+// not reach any target.
 //
-// Some requests crash each target that begins to run them. Their callers send them again, through any
-// instance. Each arrival costs a target for some seconds, with all that it was running; to the instance
-// that has it, it looks like any request whose target was lost.
+// Some requests crash every target that starts to run them. Their callers send them again, through
+// any instance. Each arrival disables a target for some seconds, with everything that it was
+// running. To the instance that handles it, it looks like any other request whose target was lost.
 //
-// A crash is a target that ended while it ran a request. A request under which Limit targets have ended
-// for one caller, and that was not answered since, is quarantined for that caller. One under which
-// Limit targets have ended for as many callers, and that nobody has had an answer to since, is so for
-// all: a caller's address may change from one arrival to the next. Requests that were merely running
-// beside a crash come to Limit crashes without an answer only by two misfortunes.
+// A crash is the end of a target while it ran a request. If CrashLimit targets have crashed during
+// a request of one caller, and the request has not been answered since, it is quarantined for that
+// caller. If CrashLimit targets have crashed for as many callers, and no caller has got an answer
+// since, it is quarantined for all callers, because a caller's address may change from one arrival
+// to the next. A request that was merely running during a crash reaches CrashLimit crashes without
+// an answer only if that happens to it twice.
 //
-// All instances know the same crashes. Each reports what it has seen to the leading one, which tells
-// all; whoever finds that the leading instance lacks something reports it again. What is merged is a
-// union, so that order and repetition do not matter. What is quarantined is kept in the store beside
-// the lease, so that it outlives all instances.
+// All instances know the same crashes. Each instance reports what it has seen to the leader, which
+// distributes it. An instance that finds something missing in the leader's table reports it again.
+// Tables are merged as unions, so order and repetition do not matter. Quarantined requests are
+// written to the store beside the lease, so that they survive the loss of all instances.
 //
 // Lock order: the Registry's lock is a leaf.
 package quarantine
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -11,24 +11,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Registry is what one instance knows. It is safe for concurrent use.
+// Registry is the quarantine state of one instance. It is safe for concurrent use.
 type Registry struct {
 	now func() time.Time
-	// table is read without the lock on the path of each request.
+	// table is read without the lock, since every request reads it.
 	table atomic.Pointer[Table]
 
 	mu sync.Mutex
-	// unreported is what the leading instance may not know.
+	// unreported is what the leader may not know.
 	unreported Table
-	// version is that of the leading instance's table which is known here, or told from here.
+	// version is the version of the leader's table that is merged here; on the leader, its own.
 	version Version
-	// leading is the term in which this instance leads; 0: it does not.
-	leading uint64
-	// stored is the content of the row in the store, as far as it is known.
+	// leadingTerm is the term in which this instance is the leader; 0 if it is not.
+	leadingTerm uint64
+	// stored is the last known content of the row in the store.
 	stored []byte
 }
 
-// Version orders the tables that leading instances tell: by term, then by a count.
+// Version orders the tables that leaders distribute: by term, then by a count.
 type Version struct {
 	Term  uint64
 	Count uint64
@@ -39,35 +39,35 @@
 	return v.Term > w.Term || v.Term == w.Term && v.Count > w.Count
 }
 
-// NewRegistry returns a registry that knows of no crash. Now tells the time of day.
+// NewRegistry returns a registry without crashes. The function now returns the time of day.
 func NewRegistry(now func() time.Time) *Registry {
 	r := &Registry{now: now, unreported: Table{}}
 	r.table.Store(&Table{})
 	return r
 }
 
-// Empty reports whether nothing is known, so that no request has to be identified.
+// Empty reports whether no crash is known, so that requests need not be identified.
 func (r *Registry) Empty() bool { return len(*r.table.Load()) == 0 }
 
-// Quarantined reports whether a request is to reach no target, and for how long.
+// Quarantined reports whether a request must not reach any target, and for how much longer.
 func (r *Registry) Quarantined(id Identity) (left time.Duration, quarantined bool) {
 	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known || !e.quarantined(id.Caller) {
 		return 0, false
 	}
-	left = e.until().Sub(r.now())
+	left = e.expiresAt().Sub(r.now())
 	return left, left > 0
 }
 
-// Suspected reports whether a target has ended under a request, of whichever caller, since it was last
-// answered.
+// Suspected reports whether a target has crashed during a request, of any caller, since the request
+// was last answered.
 func (r *Registry) Suspected(id Identity) bool {
 	e := (*r.table.Load())[id.Fingerprint]
-	return len(e.after(e.answeredAt(func(Answer) bool { return true }))) > 0
+	return len(e.crashesAfter(e.lastAnswerAt(func(Answer) bool { return true }))) > 0
 }
 
-// RecordCrash notes that a life of a target ended while it ran a request. It reports whether the request
-// is quarantined now.
+// RecordCrash records that a target ended while it ran a request. The target's ID must identify
+// this run of the target. RecordCrash reports whether the request is quarantined now.
 func (r *Registry) RecordCrash(id Identity, target string) bool {
 	crash := Crash{Target: xxhash.Sum64String(target), Caller: id.Caller, At: r.now().UnixMilli()}
 	r.Merge(Table{id.Fingerprint: {Crashes: []Crash{crash}}})
@@ -75,7 +75,7 @@
 	return quarantined
 }
 
-// RecordAnswer notes that a target has answered a request.
+// RecordAnswer records that a target has answered a request.
 func (r *Registry) RecordAnswer(id Identity) {
 	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known {
@@ -83,17 +83,17 @@
 	}
 	caller := id.Caller
 	if !slices.ContainsFunc(e.Crashes, func(c Crash) bool { return c.Caller == caller }) {
-		caller = others
+		caller = otherCallers
 	}
-	if e.answeredAt(func(a Answer) bool { return a.Caller == caller }) >= e.crashedAt() {
+	if e.lastAnswerAt(func(a Answer) bool { return a.Caller == caller }) >= e.lastCrashAt() {
 		return
 	}
-	// Clocks differ between instances: the answer came after whatever is known.
-	at := max(r.now().UnixMilli(), e.crashedAt())
+	// The answer came after all known crashes, even if another instance's clock was ahead.
+	at := max(r.now().UnixMilli(), e.lastCrashAt())
 	r.Merge(Table{id.Fingerprint: {Answers: []Answer{{Caller: caller, At: at}}}})
 }
 
-// Merge takes over what this instance has seen, or another one has reported to it.
+// Merge adds what this instance has seen, or what another one has reported to it.
 func (r *Registry) Merge(t Table) {
 	if len(t) == 0 {
 		return
@@ -104,21 +104,22 @@
 	if !r.replace(before.merged(t, r.now())) {
 		return
 	}
-	if r.leading != 0 {
+	if r.leadingTerm != 0 {
 		r.version.Count++
 		return
 	}
 	for f := range t {
-		if e, kept := (*r.table.Load())[f]; kept {
+		if e, known := (*r.table.Load())[f]; known {
 			r.unreported[f] = e
 		}
 	}
 }
 
-// QuarantinedRequest describes a request that is quarantined.
+// QuarantinedRequest describes a quarantined request.
 type QuarantinedRequest struct {
 	Fingerprint Fingerprint
-	// Targets is the number of targets that ended, as far as they are kept, Callers that of callers.
+	// Targets and Callers count the targets that crashed and the callers that were affected, as far
+	// as their crashes are still recorded.
 	Targets, Callers int
 	LastCrash, Until time.Time
 }
@@ -128,10 +129,10 @@
 	now := r.now()
 	var list []QuarantinedRequest
 	for f, e := range *r.table.Load() {
-		if e.quarantinedForAny() && !e.forgotten(now) {
+		if e.quarantinedForAny() && !e.expired(now) {
 			list = append(list, QuarantinedRequest{
-				Fingerprint: f, Targets: distinct(e.Crashes, Crash.target), Callers: distinct(e.Crashes, Crash.caller),
-				LastCrash: time.UnixMilli(e.crashedAt()), Until: e.until(),
+				Fingerprint: f, Targets: countDistinct(e.Crashes, Crash.target), Callers: countDistinct(e.Crashes, Crash.caller),
+				LastCrash: time.UnixMilli(e.lastCrashAt()), Until: e.expiresAt(),
 			})
 		}
 	}
@@ -139,14 +140,14 @@
 	return list
 }
 
-// Release ends the quarantine of a request for all callers, as if it had been answered to each. It
-// reports whether there was one.
+// Release ends the quarantine of a request for all callers, as if each had got an answer. It
+// reports whether the request was quarantined.
 func (r *Registry) Release(f Fingerprint) bool {
 	e, known := (*r.table.Load())[f]
 	if !known || !e.quarantinedForAny() {
 		return false
 	}
-	at := max(r.now().UnixMilli(), e.crashedAt())
+	at := max(r.now().UnixMilli(), e.lastCrashAt())
 	var answers []Answer
 	for _, c := range e.Crashes {
 		answers = append(answers, Answer{Caller: c.Caller, At: at})
@@ -155,7 +156,7 @@
 	return true
 }
 
-// replace puts a table in the place of the present one, and reports whether they differ. The caller
+// replace installs a new table and reports whether it differs from the previous one. The caller
 // holds the lock.
 func (r *Registry) replace(next Table) bool {
 	if next.equal(*r.table.Load()) {
@@ -165,7 +166,7 @@
 	return true
 }
 
-// Unreported returns what the leading instance may not know.
+// Unreported returns what the leader may not know.
 func (r *Registry) Unreported() Table {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +176,8 @@
 	return Table{}.merged(r.unreported, r.now())
 }
 
-// MarkReported notes that another instance, which passes it on, has got what Unreported returned.
+// MarkReported records that another instance, which forwards it to the leader, has received the
+// result of Unreported.
 func (r *Registry) MarkReported(t Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,14 +188,14 @@
 	}
 }
 
-// Version returns the version that is known here.
+// Version returns the version of the table that is known here.
 func (r *Registry) Version() Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-// UpdateSince returns what is known here, if its version is newer than the given one.
+// UpdateSince returns the table and its version if it is newer than the given version.
 func (r *Registry) UpdateSince(since Version) (Table, Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,39 +205,39 @@
 	return *r.table.Load(), r.version
 }
 
-// Adopt takes over what the leading instance tells, directly or through others. What it lacks is
-// reported to it again: it may have come to lead without having heard of it.
+// Adopt merges a table of the leader, received directly or through other instances. Entries that
+// the leader's table lacks are reported to it again: a new leader may never have received them.
 func (r *Registry) Adopt(t Table, version Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leading != 0 || !version.After(r.version) {
+	if r.leadingTerm != 0 || !version.After(r.version) {
 		return
 	}
 	r.version = version
 	before := *r.table.Load()
-	for f, e := range before.lacking(t) {
+	for f, e := range before.missingFrom(t) {
 		r.unreported[f] = e
 	}
 	r.replace(before.merged(t, r.now()))
 }
 
-// StartLeading makes this instance the one that tells all others, in its term.
+// StartLeading makes this instance the leader, whose table is distributed to all others, in a term.
 func (r *Registry) StartLeading(term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leading = term
+	r.leadingTerm = term
 	r.version = Version{Term: term, Count: 1}
 	clear(r.unreported)
 }
 
-// StopLeading ends that.
+// StopLeading makes this instance a follower.
 func (r *Registry) StopLeading() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leading = 0
+	r.leadingTerm = 0
 }
 
-// LoadStored takes over the content of the row in the store.
+// LoadStored merges the content of the row in the store.
 func (r *Registry) LoadStored(text []byte) error {
 	t, err := Decode(text)
 	if err != nil {
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// PendingWrite returns what the row in the store should hold, nil if it does so.
+// PendingWrite returns what should be written to the row in the store, or nil if it is up to date.
 func (r *Registry) PendingWrite() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,7 +266,7 @@
 	return text, nil
 }
 
-// MarkStored notes the content of the row in the store.
+// MarkStored records the content of the row in the store.
 func (r *Registry) MarkStored(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
