--- a/coordination/targetstatus/targetstatus.go
+++ b/coordination/targetstatus/targetstatus.go
@@ -1,14 +1,16 @@
-// Package targetstatus holds what targets say of themselves in their answers: that they leave, that they want
-// nothing from an instance for a time, or how many requests they take from all instances together.
+// Package targetstatus holds what targets state about themselves in their answers: that they are
+// leaving, that they accept no requests from an instance for a time, or how many requests a second
+// they accept from all instances together.
 //
-// The registry tells the first as well, but only as long as its store is there and the target reaches
-// it; an answer reaches whoever asked. What a target says to an instance binds that instance from then
-// on. To the leading one it is told as well, so that it gives the target's keys to others; it binds no
-// other instance, since a target that leaves goes on to serve for a while, and while the store is away
-// nobody else can have its keys.
+// The registry of targets also lists which targets are leaving, but only while its store is
+// available and the target reaches it. An answer reaches every instance that sends requests to the
+// target. A status that a target states to an instance binds this instance from then on. The
+// instance also reports leaving targets to the leader, which moves their keys to other targets.
+// Other instances are not bound: a leaving target continues to serve for a while, and while the
+// store is unavailable no other target can take over its keys.
 //
-// A limit is for all instances together. Who was told of it tells the keeper of the target's slots, which
-// sees all that goes there; see package permit.
+// A limit applies to all instances together. An instance that receives one forwards it to the
+// keeper of the target's slots, which sees all requests to the target; see package permit.
 //
 // Lock order: the Registry's lock is a leaf.
 package targetstatus
@@ -22,51 +24,54 @@
 )
 
 const (
-	// leaveEarly is how long before the time that a target gives itself it is not sent to any more: a
-	// request is on its way for some milliseconds, and longer from a busy instance.
-	leaveEarly = 300 * time.Millisecond
-	// keepFor is how long what a target has said is kept once it is not listed any more. The registry
-	// loses entries of targets that live while its store is away.
-	keepFor = 10 * time.Minute
-	// reportedFor is how long the word of a target counts that another instance has reported; it goes
-	// on to report it, several times a second.
-	reportedFor = 3 * time.Second
+	// leaveMargin is how long before the end of the target's drain time requests to it stop: a
+	// request takes some milliseconds to arrive, and longer from a busy instance.
+	leaveMargin = 300 * time.Millisecond
+	// unlistedRetention is how long the status of a target that is no longer listed is retained.
+	// The registry of targets loses entries of running targets while its store is unavailable.
+	unlistedRetention = 10 * time.Minute
+	// reportValidity is how long a report by another instance that a target is leaving remains
+	// valid. The instance repeats it several times a second.
+	reportValidity = 3 * time.Second
 )
 
-// Registry is what targets have said to one instance. It is safe for concurrent use.
+// Registry holds what targets have stated to one instance. It is safe for concurrent use.
 type Registry struct {
 	clock clock.Clock
-	// drain is how long a target takes requests after its first word that it leaves.
+	// drain is how long a target accepts requests after it has first stated that it is leaving.
 	drain time.Duration
 
 	mu sync.Mutex
-	// said is what was said to this instance.
-	said map[string]said
-	// reported are the targets that have told others that they leave, and when those last reported it.
+	// statuses are the targets' statuses as stated to this instance.
+	statuses map[string]status
+	// reported are the targets that other instances have reported as leaving, and the times of the
+	// last reports.
 	reported map[string]clock.Instant
 }
 
-// said is what one life of a target has said.
-type said struct {
-	// leavingAt is when it first said that it leaves; Never: it has not.
+// status is what one target has stated since it started.
+type status struct {
+	// leavingAt is when the target first stated that it is leaving; clock.Never if it has not.
 	leavingAt clock.Instant
-	// pausedUntil is until when it wants nothing.
+	// pausedUntil is the end of the time in which the target accepts no requests from this
+	// instance.
 	pausedUntil clock.Instant
-	// limit is how many requests a second it takes from all instances together, as of limitAt; 0: it
-	// names no limit.
-	limit   float64
-	limitAt clock.Instant
-	heardAt clock.Instant
+	// limit is how many requests a second the target accepts from all instances together, as of
+	// limitAt; 0 means no limit.
+	limit     float64
+	limitAt   clock.Instant
+	updatedAt clock.Instant
 }
 
-// NewRegistry returns a registry to which nothing was said. Drain is how long a target takes requests
-// after its first word that it leaves.
+// NewRegistry returns a registry without statuses. A target accepts requests for the drain time
+// after it has first stated that it is leaving.
 func NewRegistry(c clock.Clock, drain time.Duration) *Registry {
-	return &Registry{clock: c, drain: drain, said: map[string]said{}, reported: map[string]clock.Instant{}}
+	return &Registry{clock: c, drain: drain, statuses: map[string]status{}, reported: map[string]clock.Instant{}}
 }
 
-// RecordStatus notes what a target has said with an answer: that it leaves, and for how long it wants nothing,
-// 0 for neither. It reports whether it said for the first time that it leaves.
+// RecordStatus records what a target has stated with an answer: whether it is leaving, and for how
+// long it accepts no requests, 0 for no pause. It reports whether the target has stated for the
+// first time that it is leaving.
 func (r *Registry) RecordStatus(target string, leaving bool, pause time.Duration) (first bool) {
 	if !leaving && pause <= 0 {
 		return false
@@ -74,8 +79,8 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.of(target)
-	s.heardAt = now
+	s := r.statusOf(target)
+	s.updatedAt = now
 	if pause > 0 {
 		s.pausedUntil = s.pausedUntil.Later(now.Add(pause))
 	}
@@ -83,50 +88,50 @@
 		s.leavingAt = now
 		first = true
 	}
-	r.said[target] = s
+	r.statuses[target] = s
 	return first
 }
 
-// of returns what a target has said so far. The caller holds the lock.
-func (r *Registry) of(target string) said {
-	if s, known := r.said[target]; known {
+// statusOf returns the status of a target. The caller holds the lock.
+func (r *Registry) statusOf(target string) status {
+	if s, known := r.statuses[target]; known {
 		return s
 	}
-	return said{leavingAt: clock.Never, pausedUntil: clock.Never, limitAt: clock.Never}
+	return status{leavingAt: clock.Never, pausedUntil: clock.Never, limitAt: clock.Never}
 }
 
-// RecordLimit notes how many requests a second a target takes from all instances together, 0: it names no
-// limit. It returns what it named before.
+// RecordLimit records how many requests a second a target accepts from all instances together, 0
+// for no limit. It returns the previous value.
 func (r *Registry) RecordLimit(target string, perSecond float64) (before float64) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.of(target)
+	s := r.statusOf(target)
 	before = s.limit
 	if before == 0 && perSecond == 0 {
 		return 0
 	}
-	s.limit, s.limitAt, s.heardAt = perSecond, now, now
-	r.said[target] = s
+	s.limit, s.limitAt, s.updatedAt = perSecond, now, now
+	r.statuses[target] = s
 	return before
 }
 
-// Limit is a target's word on how many requests it takes from all instances together.
+// Limit is a limit that a target has stated for all instances together.
 type Limit struct {
 	Target string
-	// PerSecond is how many requests it takes a second.
+	// PerSecond is how many requests a second the target accepts.
 	PerSecond float64
-	// Age is how old the word is.
+	// Age is the time since the target stated it.
 	Age time.Duration
 }
 
-// Limits returns the limits that some targets have named to this instance, and have not ended.
+// Limits returns the current limits that the wanted targets have stated to this instance.
 func (r *Registry) Limits(wanted func(target string) bool) []Limit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	var list []Limit
-	for id, s := range r.said {
+	for id, s := range r.statuses {
 		if s.limit > 0 && wanted(id) {
 			list = append(list, Limit{Target: id, PerSecond: s.limit, Age: now.Sub(s.limitAt)})
 		}
@@ -134,40 +139,41 @@
 	return list
 }
 
-// Limited reports whether a target names a limit, by its last word to this instance.
+// Limited reports whether a target's last statement to this instance contains a limit.
 func (r *Registry) Limited(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.said[target].limit > 0
+	return r.statuses[target].limit > 0
 }
 
-// HasLeft reports whether a target said so long ago that it leaves that nothing may be sent to it.
+// HasLeft reports whether a leaving target's drain time is over but for leaveMargin, so that nothing
+// may be sent to the target.
 func (r *Registry) HasLeft(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, known := r.said[target]
-	return known && s.leavingAt != clock.Never && r.clock.Now().Sub(s.leavingAt) >= r.drain-leaveEarly
+	s, known := r.statuses[target]
+	return known && s.leavingAt != clock.Never && r.clock.Now().Sub(s.leavingAt) >= r.drain-leaveMargin
 }
 
-// RemainingPause returns for how much longer a target wants nothing.
+// RemainingPause returns for how much longer a target accepts no requests.
 func (r *Registry) RemainingPause(target string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, known := r.said[target]
+	s, known := r.statuses[target]
 	if !known || s.pausedUntil == clock.Never {
 		return 0
 	}
 	return max(0, s.pausedUntil.Sub(r.clock.Now()))
 }
 
-// TargetsToAvoid returns the targets that leave or want nothing now. Where others do as well, nothing is sent to
-// them.
+// TargetsToAvoid returns the targets that are leaving or pausing. Nothing should be sent to them if
+// other targets can serve the request as well.
 func (r *Registry) TargetsToAvoid() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	var list []string
-	for id, s := range r.said {
+	for id, s := range r.statuses {
 		if s.leavingAt != clock.Never || s.pausedUntil > now {
 			list = append(list, id)
 		}
@@ -175,7 +181,7 @@
 	return list
 }
 
-// RecordReported notes the targets that have told another instance that they leave.
+// RecordReported records the targets that another instance has reported as leaving.
 func (r *Registry) RecordReported(targets []string) {
 	if len(targets) == 0 {
 		return
@@ -188,20 +194,20 @@
 	}
 }
 
-// Leaving returns the targets that have told this instance, or others that reported to it, that they
-// leave, as far as they are listed.
+// Leaving returns the listed targets that have stated to this instance, or to instances that
+// reported it here, that they are leaving.
 func (r *Registry) Leaving(listed func(target string) bool) []string {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []string
-	for id, s := range r.said {
+	for id, s := range r.statuses {
 		if s.leavingAt != clock.Never && listed(id) {
 			list = append(list, id)
 		}
 	}
 	for id, at := range r.reported {
-		if now.Sub(at) > reportedFor {
+		if now.Sub(at) > reportValidity {
 			delete(r.reported, id)
 			continue
 		}
@@ -213,14 +219,14 @@
 	return slices.Compact(list)
 }
 
-// Prune drops what was said long ago by targets that are not listed any more.
+// Prune removes old statuses of targets that are no longer listed.
 func (r *Registry) Prune(listed func(target string) bool) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, s := range r.said {
-		if now.Sub(s.heardAt) > keepFor && now > s.pausedUntil && !listed(id) {
-			delete(r.said, id)
+	for id, s := range r.statuses {
+		if now.Sub(s.updatedAt) > unlistedRetention && now > s.pausedUntil && !listed(id) {
+			delete(r.statuses, id)
 		}
 	}
 }
--- a/coordination/targetstatus/targetstatus_test.go
+++ b/coordination/targetstatus/targetstatus_test.go
@@ -11,102 +11,102 @@
 	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
-func TestStanding(t *testing.T) {
+func TestTargetStatus(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Standing")
+	RunSpecs(t, "TargetStatus")
 }
 
-// handClock is a clock that tests set.
-type handClock struct{ now clock.Instant }
+// fakeClock is a manually driven clock.
+type fakeClock struct{ now clock.Instant }
 
-func (c *handClock) Now() clock.Instant { return c.now }
+func (c *fakeClock) Now() clock.Instant { return c.now }
 
-func (c *handClock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// drain is how long a target takes requests after it has said that it leaves.
+// drain is how long a target accepts requests after it has first stated that it is leaving.
 const drain = 2500 * time.Millisecond
 
-var _ = Describe("what targets say of themselves", func() {
+var _ = Describe("the status that targets state", func() {
 	var (
-		c *handClock
+		c *fakeClock
 		r *targetstatus.Registry
 	)
 	BeforeEach(func() {
-		c = &handClock{now: clock.Instant(time.Hour)}
+		c = &fakeClock{now: clock.Instant(time.Hour)}
 		r = targetstatus.NewRegistry(c, drain)
 	})
 	all := func(string) bool { return true }
 	none := func(string) bool { return false }
 
-	It("counts from the first word", func() {
+	It("counts the drain time from the first statement that the target is leaving", func() {
 		Expect(r.RecordStatus("t", true, 0)).To(BeTrue())
-		c.pass(time.Second)
+		c.advance(time.Second)
 		Expect(r.RecordStatus("t", true, 0)).To(BeFalse())
 		Expect(r.HasLeft("t")).To(BeFalse())
-		c.pass(drain - time.Second)
+		c.advance(drain - time.Second)
 		Expect(r.HasLeft("t")).To(BeTrue())
 		Expect(r.HasLeft("other")).To(BeFalse())
 	})
 
-	It("is sent nothing from the first word on where it takes nothing", func() {
+	It("allows no requests at all to a leaving target if the drain time is zero", func() {
 		r = targetstatus.NewRegistry(c, 0)
 		r.RecordStatus("t", true, 0)
 		Expect(r.HasLeft("t")).To(BeTrue())
 	})
 
-	It("does not take back a word that an answer lacks", func() {
+	It("keeps a target leaving when a later answer does not state it", func() {
 		r.RecordStatus("t", true, 0)
 		r.RecordStatus("t", false, 0)
 		r.RecordStatus("t", false, time.Second)
-		c.pass(drain)
+		c.advance(drain)
 		Expect(r.HasLeft("t")).To(BeTrue())
 	})
 
-	It("has the longest of several pauses", func() {
+	It("uses the pause that ends last", func() {
 		r.RecordStatus("t", false, 3*time.Second)
-		c.pass(time.Second)
+		c.advance(time.Second)
 		r.RecordStatus("t", false, time.Second)
 		Expect(r.RemainingPause("t")).To(Equal(2 * time.Second))
 		Expect(r.TargetsToAvoid()).To(ConsistOf("t"))
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 		Expect(r.RemainingPause("t")).To(BeZero())
 		Expect(r.TargetsToAvoid()).To(BeEmpty())
 		Expect(r.HasLeft("t")).To(BeFalse())
 	})
 
-	It("is kept while the registry has lost a target, and not for ever", func() {
+	It("is retained while a target is not listed, but not forever", func() {
 		r.RecordStatus("t", true, 0)
-		c.pass(time.Minute)
+		c.advance(time.Minute)
 		r.Prune(none)
 		Expect(r.HasLeft("t")).To(BeTrue())
-		c.pass(time.Hour)
+		c.advance(time.Hour)
 		r.Prune(all)
 		Expect(r.HasLeft("t")).To(BeTrue())
 		r.Prune(none)
 		Expect(r.HasLeft("t")).To(BeFalse())
 	})
 
-	It("binds only who was told; others are told who leaves", func() {
+	It("binds only the instance that received it; others learn which targets are leaving", func() {
 		r.RecordReported([]string{"t"})
-		c.pass(drain)
+		c.advance(drain)
 		Expect(r.HasLeft("t")).To(BeFalse())
 		Expect(r.TargetsToAvoid()).To(BeEmpty())
 		Expect(r.Leaving(all)).To(ConsistOf("t"))
 		Expect(r.Leaving(none)).To(BeEmpty())
-		c.pass(time.Minute)
+		c.advance(time.Minute)
 		Expect(r.Leaving(all)).To(BeEmpty())
 	})
 
-	It("names a target once that several were told by", func() {
+	It("lists a target once if it has stated to several instances that it is leaving", func() {
 		r.RecordStatus("t", true, 0)
 		r.RecordReported([]string{"t", "u"})
 		Expect(r.Leaving(all)).To(Equal([]string{"t", "u"}))
 	})
 
-	It("are limits for all instances, with the age of the word, until a target names none", func() {
+	It("includes limits for all instances, with their age, until a target states none", func() {
 		Expect(r.RecordLimit("a", 0)).To(BeZero())
 		Expect(r.RecordLimit("a", 1.5)).To(BeZero())
-		c.pass(time.Second)
+		c.advance(time.Second)
 		r.RecordLimit("b", 3)
 		Expect(r.Limits(all)).To(ConsistOf(
 			targetstatus.Limit{Target: "a", PerSecond: 1.5, Age: time.Second}, targetstatus.Limit{Target: "b", PerSecond: 3},
