--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -1,7 +1,7 @@
-// Package demand measures what arrives for which key, and how fast targets answer. Each
-// instance collects, and the leading one adds up what all of them report.
+// Package demand measures how much work arrives for which key, and how fast targets answer. Each
+// instance collects measurements, and the leader aggregates the reports of all instances.
 //
-// Lock order: the locks of Collector and Total are leaves.
+// Lock order: the locks of Collector and Aggregator are leaves.
 package demand
 
 import (
@@ -14,24 +14,26 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// smoothing is the weight of a new duration in the running mean of a rule.
+// smoothing is the weight of a new value in a running mean.
 const smoothing = 0.05
 
-// firstMean is assumed of a rule before its first answer.
-const firstMean = 100 * time.Millisecond
+// initialMean is the assumed mean duration of a rule's requests before the first answer.
+const initialMean = 100 * time.Millisecond
 
-// Collector is one instance's measurement. It is safe for concurrent use.
+// Collector collects the measurements of one instance. It is safe for concurrent use.
 type Collector struct {
-	mu    sync.Mutex
-	work  map[workKey]float32
-	pace  map[string]*peerapi.TargetStats
-	means map[string]time.Duration
-	// works are the mean times of each rule's requests at a target of usual pace.
-	works map[string]time.Duration
-	// sizes are the mean sizes of the answers of each rule, in bytes.
-	sizes map[string]float64
-	// perRequest is the mean work of the requests for each service, in seconds.
-	perRequest map[string]float64
+	mu sync.Mutex
+	// work is the work that has arrived for each key since the last call of Drain, in seconds.
+	work        map[workKey]float32
+	targetStats map[string]*peerapi.TargetStats
+	// ruleDurations are the mean durations of each rule's requests.
+	ruleDurations map[string]time.Duration
+	// ruleWork are the mean durations of each rule's requests at a target of average speed.
+	ruleWork map[string]time.Duration
+	// ruleSizes are the mean sizes of each rule's answers, in bytes.
+	ruleSizes map[string]float64
+	// serviceWork is the mean work of the requests for each service, in seconds.
+	serviceWork map[string]float64
 }
 
 type workKey struct {
@@ -39,134 +41,145 @@
 	key     uint16
 }
 
-// NewCollector returns an empty collector.
+// NewCollector returns an empty Collector.
 func NewCollector() *Collector {
-	return &Collector{work: map[workKey]float32{}, pace: map[string]*peerapi.TargetStats{}, means: map[string]time.Duration{}, works: map[string]time.Duration{}, sizes: map[string]float64{}, perRequest: map[string]float64{}}
+	return &Collector{
+		work:          map[workKey]float32{},
+		targetStats:   map[string]*peerapi.TargetStats{},
+		ruleDurations: map[string]time.Duration{},
+		ruleWork:      map[string]time.Duration{},
+		ruleSizes:     map[string]float64{},
+		serviceWork:   map[string]float64{},
+	}
 }
 
-// RecordArrival notes a request for a key.
+// RecordArrival records a request for a key.
 func (c *Collector) RecordArrival(service, rule string, key uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	work := c.workOf(rule).Seconds()
 	c.work[workKey{service, key}] += float32(work)
-	mean, known := c.perRequest[service]
+	mean, known := c.serviceWork[service]
 	if !known {
 		mean = work
 	}
-	c.perRequest[service] = mean + smoothing*(work-mean)
+	c.serviceWork[service] = mean + smoothing*(work-mean)
 }
 
 // MeanWork returns the mean work of the requests for a service's keys that arrive at this instance.
 func (c *Collector) MeanWork(service string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	mean, known := c.perRequest[service]
+	mean, known := c.serviceWork[service]
 	if !known {
-		return firstMean
+		return initialMean
 	}
 	return time.Duration(mean * float64(time.Second))
 }
 
-func (c *Collector) mean(rule string) time.Duration {
-	if mean, ok := c.means[rule]; ok {
+// durationOf returns the mean duration of a rule's requests. The caller holds the lock.
+func (c *Collector) durationOf(rule string) time.Duration {
+	if mean, ok := c.ruleDurations[rule]; ok {
 		return mean
 	}
-	return firstMean
+	return initialMean
 }
 
+// workOf returns the mean duration of a rule's requests at a target of average speed. The caller
+// holds the lock.
 func (c *Collector) workOf(rule string) time.Duration {
-	if work, ok := c.works[rule]; ok {
+	if work, ok := c.ruleWork[rule]; ok {
 		return work
 	}
-	return firstMean
+	return initialMean
 }
 
-// MeanDuration returns the mean time of a rule's requests.
+// MeanDuration returns the mean duration of a rule's requests.
 func (c *Collector) MeanDuration(rule string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mean(rule)
+	return c.durationOf(rule)
 }
 
-// MeanAnswerSize returns the mean size of a rule's answers, in bytes; 0 before the first one.
+// MeanAnswerSize returns the mean size of a rule's answers, in bytes; 0 before the first answer.
 func (c *Collector) MeanAnswerSize(rule string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sizes[rule]
+	return c.ruleSizes[rule]
 }
 
-// Answer is what an answer shows of its target.
+// Answer is what is measured about an answer of a target.
 type Answer struct {
 	Took time.Duration
-	// Size is that of the body, in bytes.
+	// Size is the size of the body, in bytes.
 	Size int
-	// Slowness is how many times as long as usual work takes at the target now, by its own word; 0: it
-	// does not say.
+	// Slowness is how long work takes at the target now relative to usual, as stated by the target;
+	// 0 if it states none.
 	Slowness float64
-	// Limit is how many requests a second the target takes from all instances together; 0: it names no
-	// limit.
+	// Limit is how many requests a second the target accepts from all instances together; 0 means
+	// no limit.
 	Limit float64
 }
 
-// RecordAnswer notes an answer of a target.
+// RecordAnswer records an answer of a target to a request of a rule.
 func (c *Collector) RecordAnswer(target, rule string, a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if mean, known := c.sizes[rule]; known {
-		c.sizes[rule] = mean + smoothing*(float64(a.Size)-mean)
+	if mean, known := c.ruleSizes[rule]; known {
+		c.ruleSizes[rule] = mean + smoothing*(float64(a.Size)-mean)
 	} else {
-		c.sizes[rule] = float64(a.Size)
+		c.ruleSizes[rule] = float64(a.Size)
 	}
-	mean, known := c.means[rule]
+	mean, known := c.ruleDurations[rule]
 	slowness, work := a.Slowness, a.Took
 	if slowness > 0 {
 		work = time.Duration(float64(a.Took) / slowness)
 	}
 	if !known {
-		c.means[rule], c.works[rule] = a.Took, work
+		c.ruleDurations[rule], c.ruleWork[rule] = a.Took, work
 		return
 	}
 	if slowness == 0 {
 		slowness = float64(a.Took) / float64(mean)
 	}
-	p := c.pace[target]
-	if p == nil {
-		p = &peerapi.TargetStats{Target: target}
-		c.pace[target] = p
+	stats := c.targetStats[target]
+	if stats == nil {
+		stats = &peerapi.TargetStats{Target: target}
+		c.targetStats[target] = stats
 	}
-	p.Count++
-	p.Slowness += slowness
-	p.Limit = a.Limit
-	c.means[rule] = smoothed(mean, a.Took)
-	c.works[rule] = smoothed(c.works[rule], work)
+	stats.Count++
+	stats.Slowness += slowness
+	stats.Limit = a.Limit
+	c.ruleDurations[rule] = smoothed(mean, a.Took)
+	c.ruleWork[rule] = smoothed(c.ruleWork[rule], work)
 }
 
-// smoothed returns a mean after another value.
+// smoothed returns a running mean updated with a new value.
 func smoothed(mean, value time.Duration) time.Duration {
 	return mean + time.Duration(smoothing*float64(value-mean))
 }
 
-// AddReport takes what another instance has collected, to be drained with what was collected here.
-func (c *Collector) AddReport(work []peerapi.KeyLoad, pace []peerapi.TargetStats) {
+// AddReport adds what another instance has collected, so that Drain returns it together with this
+// instance's measurements.
+func (c *Collector) AddReport(work []peerapi.KeyLoad, stats []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range work {
 		c.work[workKey{w.Service, w.Key}] += w.Seconds
 	}
-	for _, p := range pace {
-		own := c.pace[p.Target]
+	for _, s := range stats {
+		own := c.targetStats[s.Target]
 		if own == nil {
-			own = &peerapi.TargetStats{Target: p.Target}
-			c.pace[p.Target] = own
+			own = &peerapi.TargetStats{Target: s.Target}
+			c.targetStats[s.Target] = own
 		}
-		own.Count += p.Count
-		own.Slowness += p.Slowness
-		own.Limit = p.Limit
+		own.Count += s.Count
+		own.Slowness += s.Slowness
+		own.Limit = s.Limit
 	}
 }
 
-// Drain returns what was collected since the last call.
+// Drain returns the measurements since the last call.
 func (c *Collector) Drain() ([]peerapi.KeyLoad, []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,104 +187,111 @@
 	for k, seconds := range c.work {
 		work = append(work, peerapi.KeyLoad{Service: k.service, Key: k.key, Seconds: seconds})
 	}
-	pace := make([]peerapi.TargetStats, 0, len(c.pace))
-	for _, p := range c.pace {
-		pace = append(pace, *p)
+	stats := make([]peerapi.TargetStats, 0, len(c.targetStats))
+	for _, s := range c.targetStats {
+		stats = append(stats, *s)
 	}
 	clear(c.work)
-	clear(c.pace)
-	return work, pace
+	clear(c.targetStats)
+	return work, stats
 }
 
 const (
-	// memory is the time over which load is averaged: a hot range that moves shows within
-	// seconds, and a few requests more do not look like one.
-	memory = 3 * time.Second
-	// paceSmoothing is the weight of one answer in a target's slowness.
-	paceSmoothing = 0.04
-	// slowest bounds how slow a target is believed to be.
-	slowest = 10
+	// loadTimeConstant is the time over which load is averaged. It is short enough for a hot range
+	// that moves to show within seconds, and long enough that a few more requests do not look like
+	// one.
+	loadTimeConstant = 3 * time.Second
+	// slownessSmoothing is the weight of one answer in a target's slowness.
+	slownessSmoothing = 0.04
+	// maxSlowness bounds the slowness of a target.
+	maxSlowness = 10
 )
 
-// Aggregator adds up the reports of all instances. It is safe for concurrent use.
+// Aggregator aggregates the reports of all instances. It is safe for concurrent use.
 type Aggregator struct {
-	mu       sync.Mutex
-	load     map[string]*keyrange.Load
-	arrived  map[string]map[uint16]float32
-	slowness map[string]float64
-	limits   map[string]limitTold
-	at       clock.Instant
+	mu         sync.Mutex
+	load       map[string]*keyrange.Load
+	arrived    map[string]map[uint16]float32
+	slowness   map[string]float64
+	limits     map[string]statedLimit
+	averagedAt clock.Instant
 }
 
-// limitTold is a limit that a target names.
-type limitTold struct {
+// statedLimit is a limit that a target has stated.
+type statedLimit struct {
 	perSecond float64
-	at        clock.Instant
+	statedAt  clock.Instant
 }
 
-// limitHolds is how long a target is believed to name a limit after it last did so: one that was relieved of
-// all its keys tells nobody when it ends.
-const limitHolds = 10 * time.Second
+// limitValidity is how long a limit remains valid after the target last stated it. A target whose
+// keys have all been moved away gets no requests, so it cannot state that its limit has ended.
+const limitValidity = 10 * time.Second
 
-// NewAggregator returns an empty total.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator {
-	return &Aggregator{load: map[string]*keyrange.Load{}, arrived: map[string]map[uint16]float32{}, slowness: map[string]float64{}, limits: map[string]limitTold{}, at: clock.Never}
+	return &Aggregator{
+		load:       map[string]*keyrange.Load{},
+		arrived:    map[string]map[uint16]float32{},
+		slowness:   map[string]float64{},
+		limits:     map[string]statedLimit{},
+		averagedAt: clock.Never,
+	}
 }
 
-// AddReport takes one report that was made now.
-func (t *Aggregator) AddReport(work []peerapi.KeyLoad, pace []peerapi.TargetStats, now clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// AddReport adds a report that was made now.
+func (a *Aggregator) AddReport(work []peerapi.KeyLoad, stats []peerapi.TargetStats, now clock.Instant) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for _, w := range work {
-		keys := t.arrived[w.Service]
+		keys := a.arrived[w.Service]
 		if keys == nil {
 			keys = map[uint16]float32{}
-			t.arrived[w.Service] = keys
+			a.arrived[w.Service] = keys
 		}
 		keys[w.Key] += w.Seconds
 	}
-	for _, p := range pace {
-		old, known := t.slowness[p.Target]
+	for _, s := range stats {
+		old, known := a.slowness[s.Target]
 		if !known {
 			old = 1
 		}
-		if p.Limit > 0 {
-			t.limits[p.Target] = limitTold{p.Limit, now}
+		if s.Limit > 0 {
+			a.limits[s.Target] = statedLimit{s.Limit, now}
 		} else {
-			delete(t.limits, p.Target)
+			delete(a.limits, s.Target)
 		}
-		keep := math.Pow(1-paceSmoothing, float64(p.Count))
-		t.slowness[p.Target] = min(slowest, old*keep+p.Slowness/float64(p.Count)*(1-keep))
+		decay := math.Pow(1-slownessSmoothing, float64(s.Count))
+		a.slowness[s.Target] = min(maxSlowness, old*decay+s.Slowness/float64(s.Count)*(1-decay))
 	}
 }
 
-// Load returns the averaged load of a service's keys as of now, and the speeds of targets.
-// The load must not be kept beyond the next call of Load for the service.
-func (t *Aggregator) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.average(now)
-	load := t.load[service]
+// Load returns the averaged load of a service's keys as of now, and the speeds of all targets,
+// where 1 is average. The load is valid until the next call of Load for the service.
+func (a *Aggregator) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.updateAverages(now)
+	load := a.load[service]
 	if load == nil {
 		load = &keyrange.Load{}
-		t.load[service] = load
+		a.load[service] = load
 	}
-	speeds := make(map[string]float64, len(t.slowness))
-	for id, slowness := range t.slowness {
+	speeds := make(map[string]float64, len(a.slowness))
+	for id, slowness := range a.slowness {
 		speeds[id] = 1 / max(slowness, 0.1)
 	}
 	return load, speeds
 }
 
-// Limits returns how many requests a second targets take from all instances together, of those that name a
-// limit.
-func (t *Aggregator) Limits(now clock.Instant) map[string]float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// Limits returns the limits of the targets that state one, in requests a second from all instances
+// together.
+func (a *Aggregator) Limits(now clock.Instant) map[string]float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	limits := map[string]float64{}
-	for id, l := range t.limits {
-		if now.Sub(l.at) > limitHolds {
-			delete(t.limits, id)
+	for id, l := range a.limits {
+		if now.Sub(l.statedAt) > limitValidity {
+			delete(a.limits, id)
 			continue
 		}
 		limits[id] = l.perSecond
@@ -279,33 +299,34 @@
 	return limits
 }
 
-// leastInterval is the shortest time over which arrivals are made into a rate.
-const leastInterval = 200 * time.Millisecond
+// minInterval is the minimum time over which arrivals are converted to a rate.
+const minInterval = 200 * time.Millisecond
 
-// average lets what arrived since the last time flow into the averages.
-func (t *Aggregator) average(now clock.Instant) {
-	if t.at == clock.Never {
-		t.at = now
+// updateAverages adds what has arrived since the last update to the averages. The caller holds the
+// lock.
+func (a *Aggregator) updateAverages(now clock.Instant) {
+	if a.averagedAt == clock.Never {
+		a.averagedAt = now
 		return
 	}
-	interval := now.Sub(t.at)
-	if interval < leastInterval {
+	interval := now.Sub(a.averagedAt)
+	if interval < minInterval {
 		return
 	}
-	t.at = now
-	keep := float32(math.Exp(-float64(interval) / float64(memory)))
-	for service := range t.arrived {
-		if t.load[service] == nil {
-			t.load[service] = &keyrange.Load{}
+	a.averagedAt = now
+	decay := float32(math.Exp(-float64(interval) / float64(loadTimeConstant)))
+	for service := range a.arrived {
+		if a.load[service] == nil {
+			a.load[service] = &keyrange.Load{}
 		}
 	}
-	for service, load := range t.load {
+	for service, load := range a.load {
 		for key := range load {
-			load[key] *= keep
+			load[key] *= decay
 		}
-		for key, seconds := range t.arrived[service] {
-			load[key] += seconds / float32(interval.Seconds()) * (1 - keep)
+		for key, seconds := range a.arrived[service] {
+			load[key] += seconds / float32(interval.Seconds()) * (1 - decay)
 		}
-		clear(t.arrived[service])
+		clear(a.arrived[service])
 	}
 }
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -20,10 +20,10 @@
 
 const start = clock.Instant(time.Hour)
 
-// work of each request, in seconds.
+// work is the work of each request, in seconds.
 const work = 0.25
 
-// arrive plays requests for seconds: so many a second, each for a key that pick returns.
+// arrive simulates requests for a number of seconds, each for a key that pick returns.
 func arrive(t *Aggregator, now clock.Instant, seconds, perSecond int, pick func() uint16) (clock.Instant, *keyrange.Load) {
 	var load *keyrange.Load
 	for range seconds * 2 {
@@ -61,18 +61,18 @@
 		Expect(total(load, 0, 1<<16)).To(BeNumerically("~", 200, 6))
 	})
 
-	// Symptom: the owner of keys that have become hot turns requests away for long.
-	It("shows within two seconds that keys have become hot, and that they are so no more", func() {
+	// Guards against the owner of keys that have become hot refusing requests for a long time.
+	It("shows within two seconds that keys have become hot, and later that they no longer are", func() {
 		t := NewAggregator()
 		now, _ := arrive(t, start, 30, 800, even)
 		now, load := arrive(t, now, 2, 800, hot)
-		Expect(total(load, 30000, 30060)).To(BeNumerically(">", 25), "it is going to 80")
+		Expect(total(load, 30000, 30060)).To(BeNumerically(">", 25), "it approaches 80")
 		now, _ = arrive(t, now, 10, 800, hot)
 		_, load = arrive(t, now, 6, 800, even)
-		Expect(total(load, 30000, 30060)).To(BeNumerically("<", 15), "it was 80")
+		Expect(total(load, 30000, 30060)).To(BeNumerically("<", 15), "it was 80 before")
 	})
 
-	It("tells how fast targets are", func() {
+	It("is returned with the speeds of targets", func() {
 		t := NewAggregator()
 		for range 50 {
 			t.AddReport(nil, []peerapi.TargetStats{{Target: "slow", Count: 4, Slowness: 8}, {Target: "fast", Count: 4, Slowness: 2}}, start)
@@ -84,7 +84,7 @@
 })
 
 var _ = Describe("a collector", func() {
-	It("hands over each request once, with the mean work of its rule", func() {
+	It("returns each request once, with the mean work of its rule", func() {
 		c := NewCollector()
 		c.RecordAnswer("t", "r", Answer{Took: 200 * time.Millisecond, Size: 100})
 		c.RecordArrival("s", "r", 7)
