--- a/coordination/permit/limit.go
+++ b/coordination/permit/limit.go
@@ -23,8 +23,8 @@
 type rateLimit struct {
 	// limiter is nil if the target states no limit.
 	limiter *rate.Limiter
-	// statedAt is when the target last answered, with or without a limit.
-	statedAt clock.Instant
+	// answeredAt is when the target last answered, with or without a limit.
+	answeredAt clock.Instant
 }
 
 // limiterTime converts an instant to the time type of the limiter.
@@ -36,10 +36,10 @@
 // The first request is let through after a whole interval, so that the old and the new keeper
 // together stay within the limit when the keeper changes.
 func (l *rateLimit) setLimit(perSecond float64, at, now clock.Instant) {
-	if at <= l.statedAt {
+	if at <= l.answeredAt {
 		return
 	}
-	l.statedAt = at
+	l.answeredAt = at
 	if perSecond == 0 {
 		l.limiter = nil
 		return
--- a/coordination/permit/pool.go
+++ b/coordination/permit/pool.go
@@ -75,7 +75,7 @@
 	for _, current := range list {
 		t := p.targets[current.ID]
 		if t == nil {
-			t = &poolTarget{slownessEstimate: newSlownessEstimate(), ejectedUntil: clock.Never, usedAt: clock.Never, rateLimit: rateLimit{statedAt: clock.Never}}
+			t = &poolTarget{slownessEstimate: newSlownessEstimate(), ejectedUntil: clock.Never, usedAt: clock.Never, rateLimit: rateLimit{answeredAt: clock.Never}}
 			p.targets[current.ID] = t
 		}
 		t.Target = current
@@ -293,22 +293,22 @@
 
 // recordResult updates the slowness and the failure rate of a target, and ejects the target if
 // necessary.
-func (p *pool) recordResult(s *poolTarget, g grantedPermit, r Report, now clock.Instant) {
+func (p *pool) recordResult(t *poolTarget, g grantedPermit, r Report, now clock.Instant) {
 	if r.Slowness > 0 {
-		s.recordReported(r.Slowness, now)
+		t.recordStated(r.Slowness, now)
 	}
 	switch r.Result {
 	case Served:
-		s.failureRate *= 1 - smoothing
-		p.recordDuration(s, g.rule, r, now)
+		t.failureRate *= 1 - smoothing
+		p.recordDuration(t, g.rule, r, now)
 	case Failed, Shed:
-		s.failureRate = s.failureRate*(1-smoothing) + smoothing
-		if s.failureRate > maxFailureRate && p.mayEject(now) {
-			s.ejectedUntil = now.Add(ejectionTime)
+		t.failureRate = t.failureRate*(1-smoothing) + smoothing
+		if t.failureRate > maxFailureRate && p.mayEject(now) {
+			t.ejectedUntil = now.Add(ejectionTime)
 		}
 	case Unreachable:
 		if p.mayEject(now) {
-			s.ejectedUntil = now.Add(ejectionTime)
+			t.ejectedUntil = now.Add(ejectionTime)
 		}
 	case Dropped:
 	}
@@ -316,7 +316,7 @@
 
 // recordDuration updates the mean duration of the rule's requests at an average target, and, if the
 // target does not state its slowness, the target's measured slowness.
-func (p *pool) recordDuration(s *poolTarget, rule string, r Report, now clock.Instant) {
+func (p *pool) recordDuration(t *poolTarget, rule string, r Report, now clock.Instant) {
 	mean := p.meanDurations[rule]
 	if r.Slowness > 0 {
 		took := float64(r.Took) / r.Slowness
@@ -328,11 +328,11 @@
 	}
 	if mean == 0 {
 		p.meanDurations[rule] = r.Took
-		s.measuredAt = now
+		t.measuredAt = now
 		return
 	}
-	s.slownessEstimate.record(float64(r.Took)/float64(mean), now)
-	p.meanDurations[rule] = time.Duration(float64(mean)*(1-smoothing/4) + float64(r.Took)/s.meanSlowness*smoothing/4)
+	t.slownessEstimate.record(float64(r.Took)/float64(mean), now)
+	p.meanDurations[rule] = time.Duration(float64(mean)*(1-smoothing/4) + float64(r.Took)/t.meanSlowness*smoothing/4)
 }
 
 // mayEject reports whether one more target may be ejected. At most half of the targets of a pool
--- a/coordination/permit/queue_order_test.go
+++ b/coordination/permit/queue_order_test.go
@@ -16,7 +16,7 @@
 				{rule: "look-up", priority: 2, share: 0.45, work: 160 * time.Millisecond, aim: 600 * time.Millisecond, timeout: 4 * time.Second},
 				{rule: "booking", priority: 1, share: 0.55, work: 210 * time.Millisecond, aim: 800 * time.Millisecond, timeout: 5 * time.Second},
 			},
-			perSecond: perSecond, seconds: 600, targets: []Target{{ID: "a", DataCentre: "dc1", Slots: 3}}, reportsSlowness: true,
+			perSecond: perSecond, seconds: 600, targets: []Target{{ID: "a", DataCentre: "dc1", Slots: 3}}, statesSlowness: true,
 		}.run(3)
 		g.GinkgoWriter.Printf("%.0f requests/s: in time %.3f\n", perSecond, shares)
 		return shares
--- a/coordination/permit/simulation_test.go
+++ b/coordination/permit/simulation_test.go
@@ -19,8 +19,8 @@
 	perSecond float64
 	seconds   int
 	targets   []Target
-	// reportsSlowness says that the targets state their slowness.
-	reportsSlowness bool
+	// statesSlowness says that the targets state their slowness.
+	statesSlowness bool
 }
 
 // traffic describes the requests of a rule.
@@ -154,7 +154,7 @@
 // answered ends a request at its target.
 func (r *simulationRun) answered(q *request) {
 	report := Report{ID: q.permit.ID, Target: q.permit.Target, Rule: q.traffic.rule, Result: Served, Took: q.took}
-	if r.reportsSlowness {
+	if r.statesSlowness {
 		report.Slowness = r.slowness[q.permit.Target]
 	}
 	r.report(report, r.now)
--- a/coordination/permit/slowness.go
+++ b/coordination/permit/slowness.go
@@ -20,8 +20,8 @@
 	// than that of most targets, so that a new target is used soon, though with one request at
 	// first.
 	untriedSlowness = 0.5
-	// reportedValidity is the time in which the weight of a stated slowness decreases to zero.
-	reportedValidity = 400 * time.Millisecond
+	// statedValidity is the time in which the weight of a stated slowness decreases to zero.
+	statedValidity = 400 * time.Millisecond
 )
 
 // slownessEstimate is what is known about the slowness of a target.
@@ -29,20 +29,20 @@
 	// meanSlowness is the running mean, relative to an average target, as of measuredAt.
 	meanSlowness float64
 	measuredAt   clock.Instant
-	// reported is the slowness that the target stated last, at reportedAt, which is clock.Never if
+	// stated is the slowness that the target stated last, at statedAt, which is clock.Never if
 	// it states none.
-	reported   float64
-	reportedAt clock.Instant
+	stated   float64
+	statedAt clock.Instant
 }
 
 func newSlownessEstimate() slownessEstimate {
-	return slownessEstimate{meanSlowness: 1, measuredAt: clock.Never, reportedAt: clock.Never}
+	return slownessEstimate{meanSlowness: 1, measuredAt: clock.Never, statedAt: clock.Never}
 }
 
-// recordReported records a slowness that the target has stated.
-func (e *slownessEstimate) recordReported(slowness float64, now clock.Instant) {
+// recordStated records a slowness that the target has stated.
+func (e *slownessEstimate) recordStated(slowness float64, now clock.Instant) {
 	e.record(slowness, now)
-	e.reported, e.reportedAt = slowness, now
+	e.stated, e.statedAt = slowness, now
 }
 
 // record adds a slowness to the running mean. It was stated by the target, or measured as the
@@ -68,9 +68,9 @@
 // currentSlowness returns the best estimate of the target's slowness now.
 func (e *slownessEstimate) currentSlowness(now clock.Instant) float64 {
 	usual := e.usualSlowness(now)
-	if e.reportedAt == clock.Never {
+	if e.statedAt == clock.Never {
 		return usual
 	}
-	weight := 1 - float64(now.Sub(e.reportedAt))/float64(reportedValidity)
-	return usual + max(0, weight)*(e.reported-usual)
+	weight := 1 - float64(now.Sub(e.statedAt))/float64(statedValidity)
+	return usual + max(0, weight)*(e.stated-usual)
 }
--- a/coordination/permit/slowness_test.go
+++ b/coordination/permit/slowness_test.go
@@ -15,18 +15,18 @@
 		now := start
 		for range 60 {
 			now = now.Add(50 * time.Millisecond)
-			p.recordReported(1, now)
+			p.recordStated(1, now)
 		}
-		p.recordReported(3, now)
+		p.recordStated(3, now)
 		Expect(p.currentSlowness(now)).To(BeNumerically("~", 3, 0.01))
-		Expect(p.currentSlowness(now.Add(reportedValidity / 2))).To(BeNumerically("~", 2, 0.2))
-		Expect(p.currentSlowness(now.Add(reportedValidity))).To(BeNumerically("~", 1.2, 0.1))
+		Expect(p.currentSlowness(now.Add(statedValidity / 2))).To(BeNumerically("~", 2, 0.2))
+		Expect(p.currentSlowness(now.Add(statedValidity))).To(BeNumerically("~", 1.2, 0.1))
 	})
 
 	g.It("approaches the average while the target is not used (guards against never again trying a target that was disturbed once)", func() {
 		p := newSlownessEstimate()
 		for range 30 {
-			p.recordReported(4, start)
+			p.recordStated(4, start)
 		}
 		Expect(p.currentSlowness(start.Add(time.Minute))).To(BeNumerically("<", 1.5))
 	})
@@ -35,7 +35,7 @@
 		f := newFixture(twoTargets(4)...)
 		_, p, _ := f.ask(nil)
 		f.served(p, 100*time.Millisecond)
-		Expect(f.targets[p.Target].reportedAt).To(Equal(clock.Never))
+		Expect(f.targets[p.Target].statedAt).To(Equal(clock.Never))
 	})
 })
 
@@ -52,7 +52,7 @@
 			perSecond: 200, seconds: 30, targets: list,
 		}
 		measured := p.run(5)["r"]
-		p.reportsSlowness = true
+		p.statesSlowness = true
 		stated := p.run(5)["r"]
 		g.GinkgoWriter.Printf("in time: %.4f stated, %.4f measured\n", stated, measured)
 		Expect(1 - stated).To(BeNumerically("<", 0.75*(1-measured)))
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -29,7 +29,8 @@
 	AimLeft time.Duration
 	// Left is the remaining time until the request is given up.
 	Left time.Duration
-	// Returning says that the caller was refused before and has retried after the time that the refusal stated.
+	// Returning says that the caller was refused before and has retried after the time that it was
+	// told to wait.
 	Returning bool
 	// DataCentre is the data centre of the asking instance; targets in it are preferred.
 	DataCentre string
