--- /dev/null
+++ b/transport/front/attempt.go
@@ -0,0 +1,161 @@
+package front
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"lycheehall.example/lycheehall/coordination/demand"
+	"lycheehall.example/lycheehall/coordination/permit"
+	"lycheehall.example/lycheehall/coordination/quarantine"
+	"lycheehall.example/lycheehall/coordination/view"
+	"lycheehall.example/lycheehall/protocol/wire"
+	"lycheehall.example/lycheehall/transport/upstream"
+)
+
+// attempt sends the request to the target of the permit and reports whether to make another
+// attempt. ctx bounds the work at the target, wait bounds waiting in this instance.
+func (c *call) attempt(ctx, wait context.Context, p permit.Permit) (result, bool) {
+	t, known := c.h.board.Load().Targets[p.Target]
+	if !known || !c.maySendTo(t) {
+		// The target's state may have changed while the request waited for the permit.
+		c.h.permits.Release(c.permitReport(p, permit.Dropped, 0))
+		c.attempts++
+		if !c.keyed || !known {
+			c.awaitUpdate(wait, recheckWait)
+		}
+		return notExecuted("no-target", unavailableRetryAfter), c.attempts < maxTotalAttempts && wait.Err() == nil
+	}
+	if res, ok := c.checkQuarantine(); !ok {
+		// The request was quarantined while it waited: other instances saw it crash targets.
+		c.h.permits.Release(c.permitReport(p, permit.Dropped, 0))
+		return res, false
+	}
+	c.attempts++
+	start := time.Now()
+	resp, err := c.h.upstream.Do(ctx, c.upstreamTarget(t), c.upstreamRequest())
+	took := time.Since(start)
+	c.triedTargets = append(c.triedTargets, t.ID)
+	c.lastErr = err
+	status := statusOf(resp, err)
+	c.recordTargetStatus(t, status)
+	if errors.Is(err, upstream.ErrTargetExited) {
+		c.recordTargetExit(t, took)
+	}
+	report := c.permitReport(p, permitResult(ctx, resp, err), took)
+	report.Slowness = status.Slowness
+	report.Heard, report.Limit = status.Known, status.Limit
+	c.h.permits.Release(report)
+	if err == nil && resp.Status < http.StatusInternalServerError {
+		c.h.collector.RecordAnswer(t.ID, c.decision.Rule.Name, demand.Answer{Took: took, Size: len(resp.Body), Slowness: status.Slowness, Limit: status.Limit})
+	}
+	return c.afterAttempt(ctx, wait, resp, err)
+}
+
+func (c *call) permitReport(p permit.Permit, res permit.Result, took time.Duration) permit.Report {
+	return permit.Report{ID: p.ID, Target: p.Target, Rule: c.decision.Rule.Name, Result: res, Took: took}
+}
+
+// permitResult translates the outcome of an attempt into what it shows about the target.
+func permitResult(ctx context.Context, resp *upstream.Response, err error) permit.Result {
+	switch {
+	case err == nil && resp.Status >= http.StatusInternalServerError:
+		return permit.Failed
+	case err == nil:
+		return permit.Served
+	case errors.Is(err, upstream.ErrNotExecuted):
+		return permit.Shed
+	case errors.Is(err, upstream.ErrNotSent) && ctx.Err() == nil:
+		return permit.Unreachable
+	case ctx.Err() != nil:
+		return permit.Dropped
+	}
+	return permit.Failed
+}
+
+func (c *call) upstreamTarget(t view.Target) upstream.Target {
+	instances := max(1, len(c.snapshot.Instances))
+	limit := 0
+	if c.service.TargetConnections > 0 {
+		limit = max(2, c.service.TargetConnections/instances)
+	}
+	return upstream.Target{ID: t.ID, Name: view.TargetName(t.ID), Address: t.Address, MaxConnections: limit}
+}
+
+func (c *call) upstreamRequest() *upstream.Request {
+	header := c.r.Header.Clone()
+	wire.DropConnectionHeaders(header)
+	header.Del("Content-Length")
+	header.Del(c.h.config.Names.Timeout)
+	header.Del(c.h.config.Names.Target)
+	header.Set(c.h.config.Names.RequestID, c.id)
+	if c.keyed && !c.decision.KeyIsNumber {
+		header.Set(c.h.config.Names.Key, strconv.Itoa(int(c.key)))
+	}
+	return &upstream.Request{
+		ID: c.id, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host,
+		Header: header, Body: c.body, Idempotent: c.action.Idempotent,
+	}
+}
+
+// afterAttempt decides how to go on after an attempt: it returns the result for the caller and
+// whether to make another attempt instead. The table in the package documentation summarises it.
+func (c *call) afterAttempt(ctx, wait context.Context, resp *upstream.Response, err error) (result, bool) {
+	switch {
+	case err == nil && resp.Status < http.StatusInternalServerError:
+		return result{response: resp}, false
+	case err == nil:
+		// The target itself failed: the request was executed.
+		retry := c.action.Idempotent && !c.keyed && c.mayRetry(wait)
+		return result{response: resp}, retry
+	case errors.Is(err, upstream.ErrNotSent):
+		c.awaitUpdate(wait, recheckWait)
+		if wait.Err() != nil {
+			return c.waitEnded(), false
+		}
+		return notExecuted("target-unreachable", unavailableRetryAfter), c.attempts < maxTotalAttempts
+	case errors.Is(err, upstream.ErrNotExecuted):
+		return c.afterNotExecuted(wait, err)
+	}
+	c.outcomeUnknown = true
+	if ctx.Err() != nil {
+		return result{refusal: refusal{http.StatusGatewayTimeout, "deadline", 0}}, false
+	}
+	return result{refusal: refusal{http.StatusBadGateway, "broken-off", 0}}, c.action.Idempotent && c.mayRetry(wait)
+}
+
+// afterNotExecuted decides how to go on after the target said that it did not execute the request.
+// If the target does not own the key (status 421), it first waits for an update of the owner.
+func (c *call) afterNotExecuted(ctx context.Context, err error) (result, bool) {
+	var refusedBy *upstream.NotExecutedError
+	if errors.As(err, &refusedBy) && refusedBy.Status == http.StatusMisdirectedRequest {
+		c.awaitUpdate(ctx, recheckWait)
+	}
+	if refusedBy != nil && c.keyed && refusedBy.TargetStatus.Pause > recheckWait {
+		// No other target owns the key.
+		return notExecuted("target-paused", refusedBy.TargetStatus.Pause), false
+	}
+	if ctx.Err() != nil {
+		return c.waitEnded(), false
+	}
+	return notExecuted("target-refused", refusedRetryAfter), c.mayRetry(ctx)
+}
+
+// mayRetry reports whether the request may be sent once more: within the rule's attempts, the time
+// left, and the retry budget that all instances share. It takes the retry out of the budget.
+func (c *call) mayRetry(ctx context.Context) bool {
+	expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
+	if len(c.triedTargets) >= c.action.MaxAttempts || len(c.exitedTargets) >= quarantine.CrashLimit || time.Until(c.deadline) < expected || ctx.Err() != nil {
+		return false
+	}
+	return c.h.budget.AllowRetry(c.service.Name, len(c.snapshot.Instances), c.isLastChance(expected))
+}
+
+// isLastChance reports whether a refusal with Retry-After is of no use to the caller: it has come
+// back once already, its time would be over by then, or the outcome is unknown, so that it cannot
+// be told to retry.
+func (c *call) isLastChance(expected time.Duration) bool {
+	return c.outcomeUnknown || c.returning || time.Until(c.deadline) < refusedRetryAfter+2*expected
+}
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// answerMargin is taken off the time that a caller has, so that an answer of our own
-	// still reaches it in time.
-	answerMargin = 15 * time.Millisecond
-	// noConfigRetry is when a caller should come back to an instance that has just started.
-	noConfigRetry = 500 * time.Millisecond
-	// stoppingRetry is when a caller should come back after its instance has stopped: another
-	// one takes the connection at once.
-	stoppingRetry = 50 * time.Millisecond
-	// limitRetry is when a caller should come back after a rule's limit was reached.
-	limitRetry = time.Second
-	// lostRetry is when a caller should come back for a key whose owner was lost. Most of
-	// such keys are served again within a hold and the time to notice.
-	lostRetry = time.Second
-	// refusedRetry is when a caller should come back after its target refused the request
-	// although it had a slot free, and it could not be sent again within the budget. Where
-	// targets refuse half of what they get, a caller that comes back at once is still served
-	// within its aim.
-	refusedRetry = 100 * time.Millisecond
-	// moveWait bounds the wait for a key that changes hands. The former owner's running
-	// work has to end first.
-	moveWait = 1500 * time.Millisecond
-	// lookAgain is how long a request waits for news after its target refused it or could
-	// not be reached.
-	lookAgain = 150 * time.Millisecond
-	// maxTries bounds the tries of one request, whatever the rule allows: tries that
-	// reached nobody do not count there.
-	maxTries = 6
+	// responseMargin is subtracted from the caller's timeout, so that a response of this instance
+	// still reaches the caller in time.
+	responseMargin = 15 * time.Millisecond
+	// startupRetryAfter is the Retry-After while this instance has no configuration yet.
+	startupRetryAfter = 500 * time.Millisecond
+	// stoppingRetryAfter is the Retry-After while this instance stops: another instance takes the
+	// caller's next connection at once.
+	stoppingRetryAfter = 50 * time.Millisecond
+	// limitRetryAfter is the Retry-After when the rule's limit is reached.
+	limitRetryAfter = time.Second
+	// unavailableRetryAfter is the Retry-After when the owner of the key was lost or no target
+	// could take the request. Most keys of a lost owner are served again after the time to detect
+	// the loss and the hold of its grant.
+	unavailableRetryAfter = time.Second
+	// refusedRetryAfter is the Retry-After when the target refused the request although it had a
+	// free slot, and the retry budget is spent. It is short: where targets refuse half of their
+	// requests, a caller that comes back at once is still served within its aim.
+	refusedRetryAfter = 100 * time.Millisecond
+	// maxMoveWait bounds the wait for a key that is being reassigned. The former owner first has to
+	// finish its running work.
+	maxMoveWait = 1500 * time.Millisecond
+	// recheckWait bounds the wait for an update after the target refused the request or was
+	// unreachable. Longer pauses of a target are not waited for.
+	recheckWait = 150 * time.Millisecond
+	// maxTotalAttempts bounds the attempts of one request, whatever the rule allows: the rule's
+	// limit does not count attempts that reached no target.
+	maxTotalAttempts = 6
 )
 
-// call is one caller's request on its way.
+// call is the state of one caller's request while it is being served.
 type call struct {
 	h        *Handler
 	w        http.ResponseWriter
@@ -55,67 +55,68 @@
 
 	snapshot *view.Snapshot
 	decision rules.Decision
-	then     *rules.Then
+	action   *rules.Then
 	service  *rules.Service
 	key      uint16
 	keyed    bool
 	body     []byte
-	// returning says that the caller was refused before; elapsed is how long ago it first
-	// asked.
+	// returning says that the caller was refused before and came back; elapsed is the time since
+	// its first request.
 	returning bool
 	elapsed   time.Duration
-	// given is how long the caller says that it waits; 0: it does not say.
-	given time.Duration
+	// callerTimeout is the timeout that the caller sent; 0 if it sent none.
+	callerTimeout time.Duration
 
-	// identity says who asks for what, once that was wanted.
+	// identity caches the result of identify.
 	identity *quarantine.Identity
-	// crashed are the targets that ended while they had the request.
-	crashed []string
+	// exitedTargets are the targets whose process exited while it had the request.
+	exitedTargets []string
 
-	// What follows is told in the log.
-	tries   int
-	targets []string
-	waited  time.Duration
-	moved   time.Duration
-	mapAt   uint64
-	// unknown says that a try may have run.
-	unknown bool
-	lastErr error
+	// The following fields are logged.
+	attempts     int
+	triedTargets []string
+	queuedFor    time.Duration
+	heldFor      time.Duration
+	mapVersion   uint64
+	// outcomeUnknown says that an attempt may have been executed.
+	outcomeUnknown bool
+	lastErr        error
 }
 
-// serve brings the request to its end.
+// serve handles the request and returns the result for the caller.
 func (c *call) serve() result {
-	if res, ok := c.decide(); !ok {
+	if res, ok := c.route(); !ok {
 		return res
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	defer context.AfterFunc(c.h.ending, cancel)()
+	defer context.AfterFunc(c.h.workCtx, cancel)()
 	if res, ok := c.readBody(); !ok {
 		return res
 	}
-	if res, ok := c.mayReachTargets(); !ok {
+	if res, ok := c.checkQuarantine(); !ok {
 		return res
 	}
-	leave, ok := c.h.limits.admit(c.snapshot.Rules, c.decision.Rule)
+	release, ok := c.h.limits.admit(c.snapshot.Rules, c.decision.Rule)
 	if !ok {
-		return result{refusal: refusal{http.StatusTooManyRequests, "limit", limitRetry}}
+		return result{refusal: refusal{http.StatusTooManyRequests, "limit", limitRetryAfter}}
 	}
-	defer leave()
+	defer release()
 	c.h.budget.CountRequest(c.service.Name)
 	if c.keyed {
 		c.h.collector.RecordArrival(c.service.Name, c.decision.Rule.Name, c.key)
 	}
 	res := c.run(ctx)
-	c.noteCrashes(res)
+	c.recordCrashes(res)
 	return res
 }
 
-// decide lets the rules decide about the request.
-func (c *call) decide() (result, bool) {
+// route evaluates the rules and sets the rule, service, key and deadline of the request. It returns
+// false with a result if the request goes no further.
+func (c *call) route() (result, bool) {
 	c.snapshot = c.h.board.Load()
 	if c.snapshot.Rules == nil {
-		return notRun("no-rules", noConfigRetry), false
+		return notExecuted("no-rules", startupRetryAfter), false
 	}
 	c.decision = c.snapshot.Rules.Decide(&rules.Request{
 		Method: c.r.Method, Host: c.r.Host, URL: c.r.URL, Header: c.r.Header, DataCentre: c.h.config.DataCentre,
@@ -123,13 +124,13 @@
 	if c.decision.Rule == nil {
 		return result{refusal: refusal{http.StatusNotFound, "no-rule", 0}}, false
 	}
-	c.then = &c.decision.Rule.Then
-	if f := c.then.Refuse; f != nil {
+	c.action = &c.decision.Rule.Then
+	if f := c.action.Refuse; f != nil {
 		return result{refusal: refusal{f.Status, f.Message, time.Duration(f.RetryAfter)}}, false
 	}
-	name := c.then.Route
-	if len(c.then.Backends) > 0 {
-		name = c.h.weights.Pick(c.decision.Rule)
+	name := c.action.Route
+	if len(c.action.Backends) > 0 {
+		name = c.h.backends.Pick(c.decision.Rule)
 	}
 	c.service = c.snapshot.Rules.Service(name)
 	c.setDeadline()
@@ -143,19 +144,19 @@
 	return result{}, true
 }
 
-// setDeadline takes the shorter of the caller's and the rule's time.
+// setDeadline sets the deadline to the shorter of the caller's and the rule's timeout.
 func (c *call) setDeadline() {
 	left := c.decision.Rule.Deadline()
 	if ms, err := strconv.ParseInt(c.r.Header.Get(c.h.config.Names.Timeout), 10, 64); err == nil && ms > 0 {
-		given := time.Duration(ms) * time.Millisecond
-		c.given = given
-		c.elapsed, c.returning = c.h.patience.Seen(c.decision.Rule.Name, given)
-		left = min(left, given)
+		timeout := time.Duration(ms) * time.Millisecond
+		c.callerTimeout = timeout
+		c.elapsed, c.returning = c.h.returns.Observe(c.decision.Rule.Name, timeout)
+		left = min(left, timeout)
 	}
-	c.deadline = c.start.Add(left - answerMargin)
+	c.deadline = c.start.Add(left - responseMargin)
 }
 
-// readBody keeps the body so that it can be sent again.
+// readBody buffers the body so that it can be sent more than once.
 func (c *call) readBody() (result, bool) {
 	if c.r.ContentLength == 0 || c.r.Body == nil {
 		return result{}, true
@@ -163,13 +164,13 @@
 	if c.r.ContentLength > c.h.config.MaxBody {
 		return result{refusal: refusal{http.StatusRequestEntityTooLarge, "body-too-large", 0}}, false
 	}
-	// A caller that sends slowly must not hold the request open for ever. Where the
-	// connection has no deadlines, as in tests, there is nothing to bound.
+	// A slow caller must not hold the request open indefinitely. The error is ignored: where the
+	// connection does not support deadlines, as in tests, there is nothing to bound.
 	control := http.NewResponseController(c.w)
 	_ = control.SetReadDeadline(c.deadline)
 	body, err := io.ReadAll(io.LimitReader(c.r.Body, c.h.config.MaxBody+1))
 	if err != nil {
-		// The deadline stays: the server waits for the rest before it answers.
+		// The deadline stays set: the server waits for the rest of the body before it responds.
 		return result{refusal: refusal{http.StatusBadRequest, "body-broken", 0}}, false
 	}
 	if int64(len(body)) > c.h.config.MaxBody {
@@ -180,40 +181,41 @@
 	return result{}, true
 }
 
-// run makes tries until the request is answered or given up.
+// run makes attempts until the request is answered or given up.
 func (c *call) run(ctx context.Context) result {
-	// Waits end earlier than work when the instance stops.
+	// When the instance stops, waits end earlier than work.
 	wait, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(c.h.closing, cancel)()
+	defer context.AfterFunc(c.h.waitCtx, cancel)()
 	for {
-		target, res, ok := c.resolve(wait)
+		target, res, ok := c.findOwner(wait)
 		if !ok {
-			return c.truthful(res)
+			return c.withUnknownOutcome(res)
 		}
-		p, err := c.acquire(wait, target)
+		p, err := c.acquirePermit(wait, target)
 		if err != nil {
-			return c.truthful(c.refused(wait, err))
+			return c.withUnknownOutcome(c.permitError(wait, err))
 		}
-		res, again := c.try(ctx, wait, p)
-		if !again {
-			return c.truthful(res)
+		res, retry := c.attempt(ctx, wait, p)
+		if !retry {
+			return c.withUnknownOutcome(res)
 		}
 	}
 }
 
-// truthful keeps a refusal from promising that a request did not run which may have.
-func (c *call) truthful(res result) result {
-	if res.answer == nil && c.unknown && res.refusal.status == http.StatusServiceUnavailable {
+// withUnknownOutcome turns a 503 into a 502 without Retry-After if an earlier attempt may have been
+// executed, since a 503 promises that the request was not executed.
+func (c *call) withUnknownOutcome(res result) result {
+	if res.response == nil && c.outcomeUnknown && res.refusal.status == http.StatusServiceUnavailable {
 		res.refusal.status = http.StatusBadGateway
 		res.refusal.retryAfter = 0
 	}
 	return res
 }
 
-// resolve finds the owner of the key. While the key changes hands the request waits, if it
-// has the time. The target is empty for services without keys.
-func (c *call) resolve(ctx context.Context) (string, result, bool) {
+// findOwner returns the target that owns the key. While the key is being reassigned it waits, if
+// enough time is left. The target is empty for services without keys.
+func (c *call) findOwner(ctx context.Context) (string, result, bool) {
 	if !c.keyed {
 		c.snapshot = c.h.board.Load()
 		return "", result{}, true
@@ -222,120 +224,120 @@
 		c.snapshot = c.h.board.Load()
 		m := c.snapshot.Maps[c.service.Name]
 		if m == nil {
-			return "", notRun("no-owner", noConfigRetry), false
+			return "", notExecuted("no-owner", startupRetryAfter), false
 		}
 		r := m.Find(c.key)
-		c.mapAt = m.Version
+		c.mapVersion = m.Version
 		owner, known := c.snapshot.Targets[r.Owner]
-		if r.Served() && known && !c.hasLeft(owner) {
+		if r.Served() && known && !c.isExcluded(owner) {
 			if res, ok := c.awaitPause(ctx, r.Owner); !ok {
 				return "", res, false
 			}
 			return r.Owner, result{}, true
 		}
-		if r.Served() && known && c.cannotMove() {
-			return "", notRun("owner-leaves", lostRetry), false
+		if r.Served() && known && c.cannotReassign() {
+			return "", notExecuted("owner-leaves", unavailableRetryAfter), false
 		}
 		if r.Lost || r.Owner == "" {
-			return "", notRun("owner-lost", lostRetry), false
+			return "", notExecuted("owner-lost", unavailableRetryAfter), false
 		}
 		expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
-		if time.Until(c.deadline) < expected || c.moved > moveWait {
-			return "", notRun("moving", lostRetry/2), false
+		if time.Until(c.deadline) < expected || c.heldFor > maxMoveWait {
+			return "", notExecuted("moving", unavailableRetryAfter/2), false
 		}
-		c.await(ctx, moveWait)
+		c.awaitUpdate(ctx, maxMoveWait)
 		if ctx.Err() != nil {
-			return "", c.timedOut(), false
+			return "", c.waitEnded(), false
 		}
 	}
 }
 
-// await waits for news, for at most the given time.
-func (c *call) await(ctx context.Context, most time.Duration) {
-	begun := time.Now()
-	timer := time.NewTimer(most)
+// awaitUpdate waits until the snapshot changes, at most for timeout.
+func (c *call) awaitUpdate(ctx context.Context, timeout time.Duration) {
+	start := time.Now()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-c.snapshot.Changed:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	c.moved += time.Since(begun)
+	c.heldFor += time.Since(start)
 }
 
-func (c *call) acquire(ctx context.Context, target string) (permit.Permit, error) {
+func (c *call) acquirePermit(ctx context.Context, target string) (permit.Permit, error) {
 	ask := permit.Ask{
-		ID:      c.h.start + "-" + strconv.FormatUint(c.h.attempts.Add(1), 36),
+		ID:      c.h.idPrefix + "-" + strconv.FormatUint(c.h.lastID.Add(1), 36),
 		Service: c.service.Name, Target: target, Rule: c.decision.Rule.Name,
-		Priority:  c.then.Priority,
-		AimLeft:   time.Duration(c.then.Aim) - c.elapsed - time.Since(c.start),
+		Priority:  c.action.Priority,
+		AimLeft:   time.Duration(c.action.Aim) - c.elapsed - time.Since(c.start),
 		Left:      time.Until(c.deadline),
 		Returning: c.returning, DataCentre: c.h.config.DataCentre,
 		Abroad: permit.CrossDataCentreCost(c.h.collector.MeanAnswerSize(c.decision.Rule.Name)),
 	}
 	if target == "" {
-		ask.Exclude = c.avoided()
+		ask.Exclude = c.targetsToAvoid()
 	}
-	ask.Limits = c.limits(target)
-	ask.Suspect = c.suspect()
+	ask.Limits = c.knownLimits(target)
+	ask.Suspect = c.suspectFingerprint()
 	p, err := c.h.permits.Acquire(ctx, ask)
-	c.waited += p.Waited
-	permitSeconds.Update(p.Waited.Seconds())
+	c.queuedFor += p.Waited
+	permitWaitSeconds.Update(p.Waited.Seconds())
 	return p, err
 }
 
-// refused turns the lack of a permit into an answer.
-func (c *call) refused(ctx context.Context, err error) result {
-	var full *permit.RefusedError
-	if errors.As(err, &full) {
-		return notRun(full.Reason, full.RetryAfter)
+// permitError returns the result for a request that got no permit.
+func (c *call) permitError(ctx context.Context, err error) result {
+	var refused *permit.RefusedError
+	if errors.As(err, &refused) {
+		return notExecuted(refused.Reason, refused.RetryAfter)
 	}
 	c.lastErr = err
 	if ctx.Err() != nil {
-		return c.timedOut()
+		return c.waitEnded()
 	}
-	return notRun("no-permit", lostRetry)
+	return notExecuted("no-permit", unavailableRetryAfter)
 }
 
-// timedOut answers a request whose time is over, or whose caller has gone. It is called
-// where no try is under way.
-func (c *call) timedOut() result {
+// waitEnded returns the result for a request whose wait has ended: the caller has gone, the
+// instance is stopping, or the time is over. It must only be called while no attempt is running.
+func (c *call) waitEnded() result {
 	switch {
 	case c.r.Context().Err() != nil:
-		return notRun("caller-gone", 0)
-	case c.h.closing.Err() != nil:
-		return notRun("stopping", stoppingRetry)
+		return notExecuted("caller-gone", 0)
+	case c.h.waitCtx.Err() != nil:
+		return notExecuted("stopping", stoppingRetryAfter)
 	}
-	return notRun("deadline", lostRetry/2)
+	return notExecuted("deadline", unavailableRetryAfter/2)
 }
 
-// record writes the line that tells how the request was decided.
-func (c *call) record(res result) {
+// logRequest updates the request metrics and writes the log line of the request.
+func (c *call) logRequest(res result) {
 	took := time.Since(c.start)
 	known := c.h.clock.Now().Sub(c.h.board.CurrentAsOf())
 	requestSeconds.Update(took.Seconds())
 	if c.snapshot.Rules != nil {
-		knownSeconds.Update(known.Seconds())
+		snapshotAgeSeconds.Update(known.Seconds())
 	}
 	status, reason := res.refusal.status, res.refusal.reason
-	if res.answer != nil {
-		status, reason = res.answer.Status, "answered"
+	if res.response != nil {
+		status, reason = res.response.Status, "answered"
 	}
 	fields := []any{
-		"request", c.id, "status", status, "outcome", reason, "took_ms", took.Milliseconds(), "given_ms", c.given.Milliseconds(),
+		"request", c.id, "status", status, "outcome", reason, "took_ms", took.Milliseconds(), "given_ms", c.callerTimeout.Milliseconds(),
 		"rules", c.snapshot.RulesVersion, "known_ms", known.Milliseconds(),
 	}
 	if c.decision.Rule != nil {
 		fields = append(fields, "rule", c.decision.Rule.Name)
 	}
 	if c.service != nil {
-		fields = append(fields, "service", c.service.Name, "tries", c.tries, "targets", c.targets,
-			"queued_ms", c.waited.Milliseconds(), "held_ms", c.moved.Milliseconds())
+		fields = append(fields, "service", c.service.Name, "tries", c.attempts, "targets", c.triedTargets,
+			"queued_ms", c.queuedFor.Milliseconds(), "held_ms", c.heldFor.Milliseconds())
 	}
 	if c.keyed {
-		fields = append(fields, "key", c.key, "map", c.mapAt)
+		fields = append(fields, "key", c.key, "map", c.mapVersion)
 	}
-	if res.answer == nil {
+	if res.response == nil {
 		fields = append(fields, "retry_after_ms", res.refusal.retryAfter.Milliseconds(), "returning", c.returning)
 		countRefusal(status, reason)
 	}
--- a/transport/front/doc.go
+++ b/transport/front/doc.go
@@ -1,26 +1,28 @@
-// Package front is the request path: it takes callers' requests over HTTP, lets the rules
-// decide, sends keyed work to the owner of its key, and gives each caller its own whole
-// answer.
+// Package front handles callers' HTTP requests: it evaluates the rules, sends requests with a key
+// to the owner of the key, and passes each caller the complete response to its own request.
 //
-// Three things can become of a request. It is answered by a target. Or it is refused as not
-// run, with the time to come back; that is said only when no byte of it reached a target, or
-// each target that got it said that it did not run it. Or its outcome is unknown.
+// A request ends in one of three ways. A target answers it. Or it is refused as not executed, with
+// a Retry-After; this is only said if no byte of it reached a target, or if each target that
+// received it said that it did not execute it. Or its outcome is unknown.
 //
-// What was seen of a try decides what may be said and done:
+// The outcome of an attempt decides whether the request may be sent again and what the caller gets:
 //
-//	seen                              sent again         said in the end
-//	no byte taken by a connection     yes                503, not run
-//	target said it did not run it     yes, in budget     503, not run
-//	broken off, or time ran out       only if idempotent 502 or 504, unknown
-//	answer with a failure             only if idempotent that answer
-//	whole answer                      no                 that answer
+//	outcome of the attempt            sent again         final response
+//	no byte taken by a connection     yes                503, not executed
+//	target said: not executed         yes, in budget     503, not executed
+//	broken off, or timed out          only if idempotent 502 or 504, unknown
+//	response with a status >= 500     only if idempotent that response
+//	                                  and without a key
+//	any other complete response       no                 that response
 //
-// A request under which targets have ended, here or at other instances, is not sent any more by any of
-// these ways; see crash.go. Nor is anything sent to a target that has said that it leaves, or that it wants
-// nothing for a time; see standing.go.
+// A request under which targets have exited, at this or other instances, is quarantined and not
+// sent in any of these cases; see quarantine.go. Nothing is sent either to a target that has
+// announced that it is leaving, once its drain time is over, or that has asked for a pause; see
+// targetstatus.go.
 //
-// Once one try of a request has an unknown outcome, it is never again said not to have run.
+// Once an attempt of a request has an unknown outcome, the request is never reported as not
+// executed.
 //
-// Lock order: the locks of Budget, Weights and Patience are leaves. No lock is held during
-// input or output.
+// Lock order: the locks of RetryBudget, BackendPicker, ReturnDetector and ruleLimits are leaves. No
+// lock is held during input or output.
 package front
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -61,65 +61,65 @@
 then = { refuse = { status = 403, message = "not here", retry_after = "2s" } }
 `
 
-// answers is an Upstream that plays what each try meets.
-type answers struct {
-	mu    sync.Mutex
-	tries []upstream.Request
-	next  []func(ctx context.Context) (*upstream.Response, error)
+// fakeUpstream is an Upstream that plays a script of responses, then answers with success.
+type fakeUpstream struct {
+	mu       sync.Mutex
+	requests []upstream.Request
+	script   []func(ctx context.Context) (*upstream.Response, error)
 }
 
-func (a *answers) Do(ctx context.Context, _ upstream.Target, r *upstream.Request) (*upstream.Response, error) {
+func (a *fakeUpstream) Do(ctx context.Context, _ upstream.Target, r *upstream.Request) (*upstream.Response, error) {
 	a.mu.Lock()
-	a.tries = append(a.tries, *r)
-	play := ok
-	if len(a.next) > 0 {
-		play = a.next[0]
-		a.next = a.next[1:]
+	a.requests = append(a.requests, *r)
+	play := respondOK
+	if len(a.script) > 0 {
+		play = a.script[0]
+		a.script = a.script[1:]
 	}
 	a.mu.Unlock()
 	return play(ctx)
 }
 
-func ok(context.Context) (*upstream.Response, error) {
+func respondOK(context.Context) (*upstream.Response, error) {
 	return &upstream.Response{Status: 200, Header: http.Header{"Signed": {"yes"}}, Body: []byte("whole")}, nil
 }
 
-func failure(context.Context) (*upstream.Response, error) {
+func respondFailure(context.Context) (*upstream.Response, error) {
 	return &upstream.Response{Status: 500, Header: http.Header{"Signed": {"yes"}}, Body: []byte("bad")}, nil
 }
 
-func fails(err error) func(context.Context) (*upstream.Response, error) {
+func failWith(err error) func(context.Context) (*upstream.Response, error) {
 	return func(context.Context) (*upstream.Response, error) { return nil, err }
 }
 
-func silent(ctx context.Context) (*upstream.Response, error) {
+func hang(ctx context.Context) (*upstream.Response, error) {
 	<-ctx.Done()
 	return nil, fmt.Errorf("%w: %w", upstream.ErrOutcomeUnknown, ctx.Err())
 }
 
 var (
-	notSent  = fails(fmt.Errorf("%w: refused", upstream.ErrNotSent))
-	broken   = fails(fmt.Errorf("%w: reset", upstream.ErrOutcomeUnknown))
-	shed     = fails(&upstream.NotExecutedError{Status: 503})
-	notOwner = fails(&upstream.NotExecutedError{Status: 421})
+	notSent        = failWith(fmt.Errorf("%w: refused", upstream.ErrNotSent))
+	outcomeUnknown = failWith(fmt.Errorf("%w: reset", upstream.ErrOutcomeUnknown))
+	shed           = failWith(&upstream.NotExecutedError{Status: 503})
+	notOwner       = failWith(&upstream.NotExecutedError{Status: 421})
 )
 
-// permits hands out permits for the first target, or refuses.
-type permits struct {
-	refuse error
-	// before is called while a permit is awaited.
-	before  func()
-	mu      sync.Mutex
-	reports []permit.Report
-	asks    []permit.Ask
+// fakePermits grants a permit for the requested target, or for p1, unless refuseWith is set.
+type fakePermits struct {
+	refuseWith error
+	// beforeGrant is called while the request waits for its permit.
+	beforeGrant func()
+	mu          sync.Mutex
+	reports     []permit.Report
+	asks        []permit.Ask
 }
 
-func (p *permits) Acquire(_ context.Context, ask permit.Ask) (permit.Permit, error) {
-	if p.refuse != nil {
-		return permit.Permit{}, p.refuse
+func (p *fakePermits) Acquire(_ context.Context, ask permit.Ask) (permit.Permit, error) {
+	if p.refuseWith != nil {
+		return permit.Permit{}, p.refuseWith
 	}
-	if p.before != nil {
-		p.before()
+	if p.beforeGrant != nil {
+		p.beforeGrant()
 	}
 	p.mu.Lock()
 	p.asks = append(p.asks, ask)
@@ -131,31 +131,31 @@
 	return permit.Permit{ID: ask.ID, Target: target}, nil
 }
 
-func (p *permits) Release(r permit.Report) {
+func (p *fakePermits) Release(r permit.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reports = append(p.reports, r)
 }
 
-// aheadClock is a clock that tests set forward.
-type aheadClock struct{ ahead time.Duration }
+// offsetClock runs ahead of the system clock by an offset that tests set.
+type offsetClock struct{ offset time.Duration }
 
-func (c *aheadClock) Now() clock.Instant { return clock.System{}.Now().Add(c.ahead) }
+func (c *offsetClock) Now() clock.Instant { return clock.System{}.Now().Add(c.offset) }
 
 type fixture struct {
-	// said is the clock of what targets have said of themselves.
-	said    *aheadClock
-	h       *Handler
-	up      *answers
-	permits *permits
-	board   *view.Board
-	lines   []string
-	mu      sync.Mutex
+	// statusClock is the clock of the target status registry.
+	statusClock *offsetClock
+	h           *Handler
+	up          *fakeUpstream
+	permits     *fakePermits
+	board       *view.Board
+	logLines    []string
+	mu          sync.Mutex
 }
 
 func newFixture() *fixture {
 	GinkgoHelper()
-	f := &fixture{up: &answers{}, permits: &permits{}, said: &aheadClock{}, board: view.NewBoard(clock.System{})}
+	f := &fixture{up: &fakeUpstream{}, permits: &fakePermits{}, statusClock: &offsetClock{}, board: view.NewBoard(clock.System{})}
 	set, err := rules.Parse("rules", ruleText)
 	Expect(err).NotTo(HaveOccurred())
 	now := clock.System{}.Now()
@@ -165,19 +165,20 @@
 		"p1": {ID: "p1", Service: "plain", Address: "p1", Slots: 2},
 	}, now)
 	f.board.SetInstances(view.InstancesVersion{Term: 1, Count: 1}, []view.Instance{{ID: "i"}})
-	f.own("k1", "", false)
+	f.setOwner("k1", "", false)
 	budget := NewRetryBudget(clock.System{}, RetryBudgetConfig{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewRegistry(f.said, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
+	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewRegistry(f.statusClock, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
 		func(event string, fields ...any) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.lines = append(f.lines, event+" "+fmt.Sprint(fields...))
+			f.logLines = append(f.logLines, event+" "+fmt.Sprint(fields...))
 		})
 	return f
 }
 
-// own puts a map into force in which one target has all keys, or is about to give them up.
-func (f *fixture) own(owner, next string, lost bool) {
+// setOwner installs a map in which owner has all keys. If next is set, they are being reassigned to
+// it; lost says that the owner was lost.
+func (f *fixture) setOwner(owner, next string, lost bool) {
 	e := keyrange.Empty().Edit()
 	if m := f.board.Load().Maps["keyed"]; m != nil {
 		e = m.Edit()
@@ -204,37 +205,37 @@
 	return w
 }
 
-type play = []func(context.Context) (*upstream.Response, error)
+type script = []func(context.Context) (*upstream.Response, error)
 
-var _ = Describe("what is seen of tries, what is said and how often it was sent", func() {
-	DescribeTable("cases",
-		func(method string, next play, status, tries int) {
+var _ = Describe("the outcome of attempts, the final status and the number of attempts", func() {
+	DescribeTable("follow the table in the package documentation",
+		func(method string, responses script, status, attempts int) {
 			f := newFixture()
-			f.up.next = next
+			f.up.script = responses
 			w := f.do(method, "/k/a")
 			Expect(w.Code).To(Equal(status))
-			Expect(f.up.tries).To(HaveLen(tries))
+			Expect(f.up.requests).To(HaveLen(attempts))
 			if status == 503 {
 				Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 			} else {
 				Expect(w.Header().Get("Retry-After")).To(BeEmpty())
 			}
 		},
-		Entry("an answer", "POST", play{ok}, 200, 1),
-		Entry("not sent, then an answer", "POST", play{notSent, ok}, 200, 2),
-		Entry("not run, then an answer", "POST", play{shed, ok}, 200, 2),
-		Entry("not the owner, then an answer", "POST", play{notOwner, ok}, 200, 2),
-		Entry("broken off, must not run twice", "POST", play{broken, ok}, 502, 1),
-		Entry("broken off, may run twice", "GET", play{broken, ok}, 200, 2),
-		Entry("not run three times", "POST", play{shed, shed, shed, ok}, 503, 3),
-		Entry("broken off, then refused: it may have run", "GET", play{broken, shed, shed}, 502, 3),
-		Entry("silent until the deadline", "POST", play{silent}, 504, 1),
-		Entry("a failure of the target's own", "POST", play{failure, ok}, 500, 1),
+		Entry("a response", "POST", script{respondOK}, 200, 1),
+		Entry("not sent, then a response", "POST", script{notSent, respondOK}, 200, 2),
+		Entry("not executed, then a response", "POST", script{shed, respondOK}, 200, 2),
+		Entry("not the owner, then a response", "POST", script{notOwner, respondOK}, 200, 2),
+		Entry("broken off, not idempotent", "POST", script{outcomeUnknown, respondOK}, 502, 1),
+		Entry("broken off, idempotent", "GET", script{outcomeUnknown, respondOK}, 200, 2),
+		Entry("not executed three times", "POST", script{shed, shed, shed, respondOK}, 503, 3),
+		Entry("broken off, then refused: it may have been executed", "GET", script{outcomeUnknown, shed, shed}, 502, 3),
+		Entry("no response until the deadline", "POST", script{hang}, 504, 1),
+		Entry("a failure of the target itself", "POST", script{respondFailure, respondOK}, 500, 1),
 	)
 
-	It("gives the permit back after each try", func() {
+	It("release the permit after each attempt", func() {
 		f := newFixture()
-		f.up.next = play{shed, ok}
+		f.up.script = script{shed, respondOK}
 		f.do("POST", "/k/a")
 		Expect(f.permits.reports).To(HaveLen(2))
 		Expect(f.permits.reports[0].Result).To(Equal(permit.Shed))
@@ -243,37 +244,36 @@
 })
 
 var _ = Describe("a request", func() {
-	It("is refused at once with the time to come back when there is no room", func() {
+	It("is refused at once with a Retry-After when there is no free slot", func() {
 		f := newFixture()
-		f.permits.refuse = &permit.RefusedError{Reason: permit.ReasonFull, RetryAfter: 350 * time.Millisecond}
+		f.permits.refuseWith = &permit.RefusedError{Reason: permit.ReasonFull, RetryAfter: 350 * time.Millisecond}
 		w := f.do("POST", "/k/a")
 		Expect(w.Code).To(Equal(503))
 		seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seconds).To(BeNumerically("~", 0.35, 0.001))
-		Expect(f.up.tries).To(BeEmpty())
+		Expect(f.up.requests).To(BeEmpty())
 	})
 
-	// Symptom: requests fail while their keys change hands. Sequence: a planned move; the
-	// next owner has the keys 30 ms later. Cause: the request was refused in between.
-	It("waits for a key that changes hands", func() {
+	// Guards against refusing requests while their key is being reassigned. In a planned move the
+	// next owner has the key some 30 ms later.
+	It("waits for a key that is being reassigned", func() {
 		f := newFixture()
-		f.own("k1", "k2", false)
-		time.AfterFunc(30*time.Millisecond, func() { f.own("k1", "", false) })
+		f.setOwner("k1", "k2", false)
+		time.AfterFunc(30*time.Millisecond, func() { f.setOwner("k1", "", false) })
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
 	})
 
 	It("does not wait for a key whose owner was lost", func() {
 		f := newFixture()
-		f.own("k1", "k2", true)
-		begun := time.Now()
+		f.setOwner("k1", "k2", true)
+		start := time.Now()
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
-		Expect(time.Since(begun)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
-	// Symptom: a target that has long said that it leaves still gets requests.
-	// Sequence: it drains, and its keys cannot be taken from it.
-	// Cause: it still is the owner.
+	// Guards against sending to a target that has been draining for long. It may still own its
+	// keys, because they cannot be reassigned.
 	It("is not sent to an owner that has been draining for long", func() {
 		f := newFixture()
 		now := clock.System{}.Now()
@@ -284,34 +284,33 @@
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 	})
 
-	// Symptom: a target gets a request 2.4 s after it said that it leaves. Sequence: the
-	// request waits for a slot; the target begins to drain; the permit comes.
-	// Cause: only the wait for the owner looked at that.
+	// Guards against checking for draining targets only before the wait for a permit. The target
+	// may begin to drain while the request waits for a slot.
 	It("is not sent to an owner that began to drain while it waited for a slot", func() {
 		f := newFixture()
-		f.permits.before = func() {
+		f.permits.beforeGrant = func() {
 			now := clock.System{}.Now()
 			f.board.SetTargets(2, map[string]view.Target{"k1": {ID: "k1", Service: "keyed", Address: "k1", Slots: 2, Draining: true}}, now)
 			time.Sleep(view.DrainGrace + 50*time.Millisecond)
 		}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
-		Expect(f.up.tries).To(BeEmpty())
+		Expect(f.up.requests).To(BeEmpty())
 	})
 
-	It("has the shorter of the caller's and the rule's time", func() {
+	It("has the shorter of the caller's and the rule's timeout", func() {
 		f := newFixture()
-		f.up.next = play{silent}
-		begun := time.Now()
+		f.up.script = script{hang}
+		start := time.Now()
 		Expect(f.do("POST", "/k/a", "Timeout-Ms", "150").Code).To(Equal(504))
-		Expect(time.Since(begun)).To(BeNumerically("~", 135*time.Millisecond, 60*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("~", 135*time.Millisecond, 60*time.Millisecond))
 	})
 
-	It("gets the number of its key and keeps its id", func() {
+	It("is sent with the number of its key and its own id", func() {
 		f := newFixture()
 		f.do("POST", "/k/a")
-		Expect(f.up.tries[0].Header.Get("Key")).To(MatchRegexp(`^\d+$`))
-		Expect(f.up.tries[0].Header.Get("Id")).To(Equal("r1"))
-		Expect(string(f.up.tries[0].Body)).To(Equal("body"))
+		Expect(f.up.requests[0].Header.Get("Key")).To(MatchRegexp(`^\d+$`))
+		Expect(f.up.requests[0].Header.Get("Id")).To(Equal("r1"))
+		Expect(string(f.up.requests[0].Body)).To(Equal("body"))
 	})
 
 	It("is answered by a rule that refuses", func() {
@@ -320,9 +319,9 @@
 		Expect(w.Header().Get("Retry-After")).To(Equal("2.000"))
 	})
 
-	It("finds no rule", func() { Expect(newFixture().do("GET", "/elsewhere").Code).To(Equal(404)) })
+	It("is answered with 404 when no rule matches", func() { Expect(newFixture().do("GET", "/elsewhere").Code).To(Equal(404)) })
 
-	It("is refused as not run while no rules are known", func() {
+	It("is refused as not executed while no rules are known", func() {
 		f := newFixture()
 		f.h.board = view.NewBoard(clock.System{})
 		Expect(f.do("GET", "/k/a").Code).To(Equal(503))
@@ -330,56 +329,57 @@
 
 	It("is refused beyond the rule's limit", func() {
 		f := newFixture()
-		begun, end := make(chan struct{}), make(chan struct{})
-		f.up.next = play{func(ctx context.Context) (*upstream.Response, error) { close(begun); <-end; return ok(ctx) }}
+		started, end := make(chan struct{}), make(chan struct{})
+		f.up.script = script{func(ctx context.Context) (*upstream.Response, error) { close(started); <-end; return respondOK(ctx) }}
 		go f.do("GET", "/limited")
-		<-begun
+		<-started
 		Expect(f.do("GET", "/limited").Code).To(Equal(429))
 		close(end)
 	})
 
-	It("writes one line with what decided it", func() {
+	It("writes one log line with what decided it", func() {
 		f := newFixture()
 		f.do("POST", "/k/a")
-		Expect(f.lines).To(HaveLen(1))
+		Expect(f.logLines).To(HaveLen(1))
 		for _, part := range []string{"request", "r1", "book", "keyed", "k1", "answered"} {
-			Expect(f.lines[0]).To(ContainSubstring(part))
+			Expect(f.logLines[0]).To(ContainSubstring(part))
 		}
 	})
 
-	// Symptom: a request gets neither an answer nor a refusal when its instance stops.
-	// Sequence: it waits for a key that changes hands; the grace ends; the process exits.
-	// Cause: only the request's own time ended the wait.
-	It("is refused as not run when its instance stops while it waits", func() {
+	// Guards against requests without any response when the instance stops. The request waits for a
+	// key that is being reassigned until the grace period ends and the process exits; its wait must
+	// not only end with the request's own deadline.
+	It("is refused as not executed when the instance stops while it waits", func() {
 		f := newFixture()
-		f.own("k1", "k2", false)
+		f.setOwner("k1", "k2", false)
 		time.AfterFunc(50*time.Millisecond, f.h.RefuseWaiting)
 		w := f.do("POST", "/k/a")
 		Expect(w.Code).To(Equal(503))
 		Expect(w.Body.String()).To(Equal("stopping\n"))
 	})
 
-	It("is not cut off at its target when waits end, and answered when work ends", func() {
+	It("is not aborted at its target by RefuseWaiting, but by AbortRunning", func() {
 		f := newFixture()
-		f.up.next = play{silent}
-		begun := time.Now()
+		f.up.script = script{hang}
+		start := time.Now()
 		f.h.RefuseWaiting()
 		time.AfterFunc(150*time.Millisecond, f.h.AbortRunning)
 		Expect(f.do("POST", "/k/a").Code).To(Equal(504))
-		Expect(time.Since(begun)).To(BeNumerically("~", 150*time.Millisecond, 100*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("~", 150*time.Millisecond, 100*time.Millisecond))
 	})
 
-	It("is asked to leave the connection when the instance stops", func() {
+	It("is answered with Connection: close when the instance stops", func() {
 		f := newFixture()
 		f.h.DisableKeepAlives()
 		Expect(f.do("GET", "/k/a").Header().Get("Connection")).To(Equal("close"))
 	})
 })
 
-// TestAnswerBodies checks that an answer goes to its caller unchanged.
-func TestAnswerBodies(t *testing.T) {
+// TestResponseBodies checks that a response is passed on to the caller unchanged, without the
+// headers that concern only the connection.
+func TestResponseBodies(t *testing.T) {
 	w := httptest.NewRecorder()
-	writeAnswer(w, &upstream.Response{Status: 201, Header: http.Header{"Signed": {"x"}, "Connection": {"close"}, "Keep-Alive": {"timeout=3"}}, Body: []byte("abc")})
+	writeResponse(w, &upstream.Response{Status: 201, Header: http.Header{"Signed": {"x"}, "Connection": {"close"}, "Keep-Alive": {"timeout=3"}}, Body: []byte("abc")})
 	body, err := io.ReadAll(w.Body)
 	if err != nil || string(body) != "abc" || w.Code != 201 || w.Header().Get("Signed") != "x" || w.Header().Get("Keep-Alive") != "" {
 		t.Fatalf("got %d %q %v", w.Code, body, w.Header())
--- a/transport/front/handler.go
+++ b/transport/front/handler.go
@@ -20,7 +20,7 @@
 	"lycheehall.example/lycheehall/transport/upstream"
 )
 
-// Permits hands out the slots of targets.
+// Permits hands out permits for the slots of targets, and takes them back with a report.
 type Permits interface {
 	Acquire(ctx context.Context, ask permit.Ask) (permit.Permit, error)
 	Release(r permit.Report)
@@ -31,18 +31,20 @@
 	Do(ctx context.Context, t upstream.Target, r *upstream.Request) (*upstream.Response, error)
 }
 
-// Log writes one line about a decision: its name, then names and values in turn.
+// Log writes one log line: the event's name, then alternating field names and values.
 type Log func(event string, fields ...any)
 
-// Config of a Handler.
+// Config configures a Handler.
 type Config struct {
 	Names      wire.Names
 	DataCentre string
-	// MaxBody is the largest body accepted, in bytes.
+	// MaxBody is the largest request body accepted, in bytes.
 	MaxBody int64
-	// Quarantine knows the requests that are to reach no target; nil: none are known from elsewhere.
+	// Quarantine holds the requests that must not be sent to any target. If it is nil, the handler
+	// uses a registry of its own, which knows only the crashes that it sees itself.
 	Quarantine *quarantine.Registry
-	// TargetStatus is what targets have said of themselves; nil: nobody else of this process looks at it.
+	// TargetStatus holds what targets have reported about themselves. If it is nil, the handler
+	// uses a registry of its own.
 	TargetStatus *targetstatus.Registry
 }
 
@@ -55,21 +57,22 @@
 	permits   Permits
 	collector *demand.Collector
 	budget    *RetryBudget
-	weights   *Weights
-	patience  *Patience
-	limits    *limits
+	backends  *BackendPicker
+	returns   *ReturnDetector
+	limits    *ruleLimits
 	log       Log
 
-	attempts atomic.Uint64
-	inFlight atomic.Int64
-	leaving  atomic.Bool
-	start    string
-	// closing ends waiting requests, ending ends those that targets work on.
-	closing, ending   context.Context
-	endWaits, endWork context.CancelFunc
+	lastID           atomic.Uint64
+	inFlight         atomic.Int64
+	closeConnections atomic.Bool
+	idPrefix         string
+	// waitCtx ends requests that wait in this instance, workCtx ends those that are at a target.
+	waitCtx, workCtx        context.Context
+	cancelWaits, cancelWork context.CancelFunc
 }
 
-// NewHandler returns a handler. Instance makes the ids of its attempts unique.
+// NewHandler returns a handler. The instance name prefixes the ids that it generates, so that they
+// are unique across instances.
 func NewHandler(config Config, c clock.Clock, instance string, board *view.Board, up Upstream, permits Permits, collector *demand.Collector, budget *RetryBudget, log Log) *Handler {
 	if config.Quarantine == nil {
 		config.Quarantine = quarantine.NewRegistry(time.Now)
@@ -79,103 +82,106 @@
 	}
 	h := &Handler{
 		config: config, clock: c, board: board, upstream: up, permits: permits, collector: collector,
-		budget: budget, weights: NewWeights(), patience: NewPatience(), limits: newLimits(), log: log, start: instance,
+		budget: budget, backends: NewBackendPicker(), returns: NewReturnDetector(), limits: newRuleLimits(), log: log, idPrefix: instance,
 	}
-	h.closing, h.endWaits = context.WithCancel(context.Background())
-	h.ending, h.endWork = context.WithCancel(context.Background())
+	h.waitCtx, h.cancelWaits = context.WithCancel(context.Background())
+	h.workCtx, h.cancelWork = context.WithCancel(context.Background())
 	return h
 }
 
-// DisableKeepAlives makes the handler ask callers to use other connections.
-func (h *Handler) DisableKeepAlives() { h.leaving.Store(true) }
+// DisableKeepAlives makes the handler respond with "Connection: close", so that callers go to other
+// instances.
+func (h *Handler) DisableKeepAlives() { h.closeConnections.Store(true) }
 
-// RefuseWaiting refuses the requests that have not been sent to a target, as not run. Without it
-// those that wait for a slot or an owner when the process is ended get no answer at all.
-func (h *Handler) RefuseWaiting() { h.endWaits() }
+// RefuseWaiting refuses, as not executed, all requests that have not been sent to a target.
+// Otherwise requests that wait for a slot or an owner when the process exits get no response at
+// all.
+func (h *Handler) RefuseWaiting() { h.cancelWaits() }
 
-// AbortRunning answers the requests that targets still work on; their outcome is unknown.
-func (h *Handler) AbortRunning() { h.endWork() }
+// AbortRunning aborts the requests that targets are working on and answers their callers; the
+// outcome of these requests is unknown.
+func (h *Handler) AbortRunning() { h.cancelWork() }
 
-// InFlight returns the number of requests that are being served.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 var (
-	requestsTotal   = metrics.GetOrCreateCounter("lycheehall_front_requests_total")
-	knownSeconds    = metrics.GetOrCreateHistogram("lycheehall_front_known_seconds")
-	requestSeconds  = metrics.GetOrCreateHistogram("lycheehall_front_request_seconds")
-	permitSeconds   = metrics.GetOrCreateHistogram("lycheehall_permit_wait_seconds")
-	targetsEnded    = metrics.GetOrCreateCounter("lycheehall_front_targets_ended_total")
-	requestsRunning = metrics.GetOrCreateCounter("lycheehall_front_requests_in_flight")
+	requestsTotal      = metrics.GetOrCreateCounter("lycheehall_front_requests_total")
+	snapshotAgeSeconds = metrics.GetOrCreateHistogram("lycheehall_front_known_seconds")
+	requestSeconds     = metrics.GetOrCreateHistogram("lycheehall_front_request_seconds")
+	permitWaitSeconds  = metrics.GetOrCreateHistogram("lycheehall_permit_wait_seconds")
+	targetsExited      = metrics.GetOrCreateCounter("lycheehall_front_targets_ended_total")
+	requestsInFlight   = metrics.GetOrCreateCounter("lycheehall_front_requests_in_flight")
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
-	requestsRunning.Inc()
+	requestsInFlight.Inc()
 	defer func() {
 		h.inFlight.Add(-1)
-		requestsRunning.Dec()
+		requestsInFlight.Dec()
 	}()
 	requestsTotal.Inc()
-	if h.leaving.Load() {
+	if h.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	c := &call{h: h, w: w, r: r, id: r.Header.Get(h.config.Names.RequestID), start: time.Now()}
 	if c.id == "" {
-		c.id = h.start + "-" + strconv.FormatUint(h.attempts.Add(1), 36)
+		c.id = h.idPrefix + "-" + strconv.FormatUint(h.lastID.Add(1), 36)
 	}
 	res := c.serve()
-	c.record(res)
-	if res.answer != nil {
-		writeAnswer(w, res.answer)
+	c.logRequest(res)
+	if res.response != nil {
+		writeResponse(w, res.response)
 		return
 	}
 	res.refusal.write(w)
 }
 
-// result is what a caller is told: a target's answer, or a refusal of our own.
+// result is what the caller gets: the response of a target or, if that is nil, the refusal.
 type result struct {
-	answer  *upstream.Response
-	refusal refusal
+	response *upstream.Response
+	refusal  refusal
 }
 
-// refusal is an answer that no target gave.
+// refusal is a response generated by this instance.
 type refusal struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
 }
 
-// notRun promises that the request has not run and never will.
-func notRun(reason string, retryAfter time.Duration) result {
+// notExecuted returns a 503. It promises that the request has not been executed and will not be.
+func notExecuted(reason string, retryAfter time.Duration) result {
 	return result{refusal: refusal{http.StatusServiceUnavailable, reason, retryAfter}}
 }
 
-// write answers the caller at once.
-func (f refusal) write(w http.ResponseWriter) {
+// write sends the refusal to the caller.
+func (r refusal) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	if f.retryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
+	if r.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	w.WriteHeader(f.status)
-	// A failure means that the caller has gone away.
-	_, _ = io.WriteString(w, f.reason+"\n")
+	w.WriteHeader(r.status)
+	// A write error means that the caller has gone.
+	_, _ = io.WriteString(w, r.reason+"\n")
 }
 
-// writeAnswer passes a target's whole answer on.
-func writeAnswer(w http.ResponseWriter, a *upstream.Response) {
+// writeResponse passes a target's complete response on to the caller.
+func writeResponse(w http.ResponseWriter, resp *upstream.Response) {
 	header := w.Header()
-	wire.DropConnectionHeaders(a.Header)
-	for name, values := range a.Header {
+	wire.DropConnectionHeaders(resp.Header)
+	for name, values := range resp.Header {
 		header[name] = values
 	}
-	if _, given := a.Header["Content-Type"]; !given {
-		// Without this the server would guess one.
+	if _, given := resp.Header["Content-Type"]; !given {
+		// A nil value keeps net/http from guessing a content type.
 		header["Content-Type"] = nil
 	}
-	header.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	// A failure means that the caller has gone away.
-	_, _ = w.Write(a.Body)
+	header.Set("Content-Length", strconv.Itoa(len(resp.Body)))
+	w.WriteHeader(resp.Status)
+	// A write error means that the caller has gone.
+	_, _ = w.Write(resp.Body)
 }
--- a/transport/front/limits.go
+++ b/transport/front/limits.go
@@ -8,43 +8,42 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// limits holds the limits of the rules in force, as counted on this instance. Its lock is a
-// leaf.
-type limits struct {
-	mu    sync.Mutex
-	set   *rules.Set
-	rules map[string]*ruleLimit
+// ruleLimits enforces the rules' limits on this instance. Its lock is a leaf.
+type ruleLimits struct {
+	mu     sync.Mutex
+	set    *rules.Set
+	byRule map[string]*ruleLimit
 }
 
 type ruleLimit struct {
-	bound   rules.Limit
+	config  rules.Limit
 	limiter *rate.Limiter
 	running int
 }
 
-func newLimits() *limits { return &limits{rules: map[string]*ruleLimit{}} }
+func newRuleLimits() *ruleLimits { return &ruleLimits{byRule: map[string]*ruleLimit{}} }
 
-func nothing() {}
+func noop() {}
 
-// admit counts a request of a rule, and reports whether it is within the rule's limit. The
-// returned function must be called when the request is over.
-func (l *limits) admit(set *rules.Set, r *rules.Rule) (func(), bool) {
+// admit reports whether a request is within its rule's limit, and counts it if so. The returned
+// function must be called when the request has ended.
+func (l *ruleLimits) admit(set *rules.Set, r *rules.Rule) (func(), bool) {
 	if r.Then.Limit == nil {
-		return nothing, true
+		return noop, true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.adopt(set)
-	limit := l.rules[r.Name]
+	l.update(set)
+	limit := l.byRule[r.Name]
 	if limit == nil {
-		// The rule is of a set that has been replaced meanwhile.
-		return nothing, true
+		// The rule belongs to a rule set that has been replaced.
+		return noop, true
 	}
-	if limit.bound.Concurrent > 0 && limit.running >= limit.bound.Concurrent {
-		return nothing, false
+	if limit.config.Concurrent > 0 && limit.running >= limit.config.Concurrent {
+		return noop, false
 	}
 	if limit.limiter != nil && !limit.limiter.Allow() {
-		return nothing, false
+		return noop, false
 	}
 	limit.running++
 	return func() {
@@ -54,9 +53,8 @@
 	}, true
 }
 
-// adopt takes the limits of a new set of rules; what has been counted under limits that stay
-// the same goes on.
-func (l *limits) adopt(set *rules.Set) {
+// update takes over the limits of a new rule set. Limits that have not changed keep their counts.
+func (l *ruleLimits) update(set *rules.Set) {
 	if l.set == set {
 		return
 	}
@@ -67,15 +65,15 @@
 		if bound == nil {
 			continue
 		}
-		if old := l.rules[r.Name]; old != nil && old.bound == *bound {
+		if old := l.byRule[r.Name]; old != nil && old.config == *bound {
 			next[r.Name] = old
 			continue
 		}
-		limit := &ruleLimit{bound: *bound}
+		limit := &ruleLimit{config: *bound}
 		if bound.PerSecond > 0 {
 			limit.limiter = rate.NewLimiter(rate.Limit(bound.PerSecond), bound.Burst)
 		}
 		next[r.Name] = limit
 	}
-	l.rules = next
+	l.byRule = next
 }
--- a/transport/front/policy.go
+++ b/transport/front/policy.go
@@ -15,9 +15,9 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_front_refusals_total{status="%d",reason=%q}`, status, reason)).Inc()
 }
 
-// RetryBudget bounds repeated sends: over a window they stay below a share of the service's
-// requests and a fixed number, over all instances together. Each instance keeps to its part
-// without asking the others. It is safe for concurrent use.
+// RetryBudget bounds retries: within a window, all instances together retry at most a share of a
+// service's requests plus a fixed number. Each instance keeps to its part of the budget without
+// asking the others. It is safe for concurrent use.
 type RetryBudget struct {
 	clock  clock.Clock
 	config RetryBudgetConfig
@@ -26,41 +26,42 @@
 	services map[string]*budgetWindow
 }
 
-// RetryBudgetConfig is what all instances together may spend.
+// RetryBudgetConfig is the budget of all instances together.
 type RetryBudgetConfig struct {
-	// Ratio is the share of a service's requests that may be repeats.
+	// Ratio is the share of a service's requests that may be retries.
 	Ratio float64
-	// Slack is the number of repeats in a window beside that.
+	// Slack is the number of retries per window allowed in addition.
 	Slack float64
-	// Window is the time over which both are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
 
 const (
-	// budgetParts is the number of parts that a window is counted in.
-	budgetParts = 10
-	// budgetUse is the part of the budget that is used. Windows of whoever counts do not
-	// begin where ours do, and an instance that restarts forgets what it has spent.
-	budgetUse = 0.8
-	// firstUse is the part of what may be used that goes to callers who have time to come back.
-	// While all targets of a service refuse half of what they get, repeats run short; one that is
-	// spent on a caller who comes back by itself anyhow gains half as much as one that is spent
-	// on a caller whose last try it is.
-	firstUse = 0.5
+	// budgetBuckets is the number of buckets that a window is divided into.
+	budgetBuckets = 10
+	// usableShare is the share of the budget that is used. The rest allows for counting windows
+	// that do not begin where ours do, and for instances that restart and forget what they have
+	// spent.
+	usableShare = 0.8
+	// firstTryShare is the share of the usable budget that is open to callers who have time to come
+	// back. When all targets of a service refuse half of their requests, the budget runs short. A
+	// retry spent on a caller that comes back by itself gains half as much as one spent on a
+	// caller's last chance.
+	firstTryShare = 0.5
 )
 
 type budgetWindow struct {
-	requests [budgetParts]float64
-	repeats  [budgetParts]float64
-	part     int64
+	requests [budgetBuckets]float64
+	retries  [budgetBuckets]float64
+	bucket   int64
 }
 
-// NewRetryBudget returns a budget of which nothing has been spent.
+// NewRetryBudget returns an unspent budget.
 func NewRetryBudget(c clock.Clock, config RetryBudgetConfig) *RetryBudget {
 	return &RetryBudget{clock: c, config: config, services: map[string]*budgetWindow{}}
 }
 
-// Configure changes what may be spent from now on.
+// Configure changes the budget from now on. Changing the window resets all counts.
 func (b *RetryBudget) Configure(config RetryBudgetConfig) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,80 +71,79 @@
 	b.config = config
 }
 
-// window returns a service's window, moved on to the present. The caller holds the lock.
+// window returns the service's window, advanced to the present. The caller must hold the lock.
 func (b *RetryBudget) window(service string) *budgetWindow {
 	w := b.services[service]
-	now := int64(b.clock.Now()) / int64(b.config.Window/budgetParts)
+	now := int64(b.clock.Now()) / int64(b.config.Window/budgetBuckets)
 	if w == nil {
-		w = &budgetWindow{part: now}
+		w = &budgetWindow{bucket: now}
 		b.services[service] = w
 	}
-	for ; w.part < now; w.part++ {
-		if now-w.part > budgetParts {
-			w.part = now - budgetParts
+	for ; w.bucket < now; w.bucket++ {
+		if now-w.bucket > budgetBuckets {
+			w.bucket = now - budgetBuckets
 		}
-		next := (w.part + 1) % budgetParts
-		w.requests[next], w.repeats[next] = 0, 0
+		next := (w.bucket + 1) % budgetBuckets
+		w.requests[next], w.retries[next] = 0, 0
 	}
 	return w
 }
 
-// CountRequest notes a request for a service.
+// CountRequest counts a request for a service.
 func (b *RetryBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	w.requests[w.part%budgetParts]++
+	w.requests[w.bucket%budgetBuckets]++
 }
 
-// AllowRetry takes one repeat out of the budget, if there is one left. Last says that the caller has
-// no time to come back, so that this is its last chance. While the number of
-// instances is not known, 0, there is nothing beside the share: many instances that start
-// at the same moment would each take the whole.
-func (b *RetryBudget) AllowRetry(service string, instances int, last bool) bool {
+// AllowRetry takes one retry out of the service's budget and reports whether there was one left.
+// lastChance says that the caller has no time to come back. While the number of instances is
+// unknown (0) there is no slack: if many instances started at the same moment, each would use all
+// of it.
+func (b *RetryBudget) AllowRetry(service string, instances int, lastChance bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	requests, repeats := 0.0, 0.0
-	for i := range budgetParts {
+	requests, retries := 0.0, 0.0
+	for i := range budgetBuckets {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
 	allowed := b.config.Ratio * requests
 	if instances > 0 {
 		allowed += b.config.Slack / float64(instances)
 	}
-	allowed *= budgetUse
-	if !last {
-		allowed *= firstUse
+	allowed *= usableShare
+	if !lastChance {
+		allowed *= firstTryShare
 	}
-	if repeats+1 > allowed {
+	if retries+1 > allowed {
 		return false
 	}
-	w.repeats[w.part%budgetParts]++
+	w.retries[w.bucket%budgetBuckets]++
 	return true
 }
 
-// Weights shares a rule's requests among its backends in the proportion of their weights,
-// as evenly as whole requests allow. It is safe for concurrent use.
-type Weights struct {
+// BackendPicker distributes a rule's requests over its backends in proportion to their weights, as
+// evenly as possible. It is safe for concurrent use.
+type BackendPicker struct {
 	mu      sync.Mutex
 	credits map[string][]int
 }
 
-// NewWeights returns weights of which nothing has been used.
-func NewWeights() *Weights { return &Weights{credits: map[string][]int{}} }
+// NewBackendPicker returns a picker without any history.
+func NewBackendPicker() *BackendPicker { return &BackendPicker{credits: map[string][]int{}} }
 
-// Pick returns the service for the rule's next request: the one that is furthest behind its
-// share.
-func (w *Weights) Pick(r *rules.Rule) string {
+// Pick returns the service for the rule's next request: the backend furthest behind its share.
+func (p *BackendPicker) Pick(r *rules.Rule) string {
 	backends := r.Then.Backends
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	credit := w.credits[r.Name]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	credit := p.credits[r.Name]
 	if len(credit) != len(backends) {
 		credit = make([]int, len(backends))
-		w.credits[r.Name] = credit
+		p.credits[r.Name] = credit
 	}
 	total, best := 0, -1
 	for i, b := range backends {
--- a/transport/front/policy_test.go
+++ b/transport/front/policy_test.go
@@ -10,15 +10,15 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// handClock is a clock that tests set.
-type handClock struct{ now clock.Instant }
+// manualClock is a clock that tests set.
+type manualClock struct{ now clock.Instant }
 
-func (c *handClock) Now() clock.Instant { return c.now }
+func (c *manualClock) Now() clock.Instant { return c.now }
 
-var _ = Describe("the budget of repeats", func() {
+var _ = Describe("the retry budget", func() {
 	config := RetryBudgetConfig{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 
-	repeats := func(b *RetryBudget, instances int) int {
+	countRetries := func(b *RetryBudget, instances int) int {
 		n := 0
 		for n < 1000 && b.AllowRetry("s", instances, true) {
 			n++
@@ -26,19 +26,19 @@
 		return n
 	}
 
-	It("is a share of the requests and this instance's part of the rest", func() {
-		b := NewRetryBudget(&handClock{now: clock.Instant(time.Hour)}, config)
+	It("is a share of the requests and this instance's part of the slack", func() {
+		b := NewRetryBudget(&manualClock{now: clock.Instant(time.Hour)}, config)
 		for range 1000 {
 			b.CountRequest("s")
 		}
-		Expect(repeats(b, 12)).To(BeNumerically("~", budgetUse*(200+5), 1))
+		Expect(countRetries(b, 12)).To(BeNumerically("~", usableShare*(200+5), 1))
 	})
 
-	// Symptom: callers whose targets all refuse half of what they get are refused twice. Sequence:
-	// repeats are spent on first tries, whose callers would have come back; none are left for
-	// those that have.
-	It("is kept in part for callers who do not come back", func() {
-		b := NewRetryBudget(&handClock{now: clock.Instant(time.Hour)}, config)
+	// Guards against spending all retries on callers who would come back anyhow. When all targets
+	// refuse half of their requests, none would be left for callers who have come back, and those
+	// would be refused twice.
+	It("is reserved in part for callers who cannot come back", func() {
+		b := NewRetryBudget(&manualClock{now: clock.Instant(time.Hour)}, config)
 		for range 1000 {
 			b.CountRequest("s")
 		}
@@ -46,32 +46,32 @@
 		for first < 1000 && b.AllowRetry("s", 12, false) {
 			first++
 		}
-		Expect(first).To(BeNumerically("~", firstUse*budgetUse*205, 1))
-		Expect(repeats(b, 12)).To(BeNumerically("~", (1-firstUse)*budgetUse*205, 2))
+		Expect(first).To(BeNumerically("~", firstTryShare*usableShare*205, 1))
+		Expect(countRetries(b, 12)).To(BeNumerically("~", (1-firstTryShare)*usableShare*205, 2))
 	})
 
-	// Symptom: services get more repeats than allowed after all instances were killed.
-	// Sequence: each starts anew and takes the whole slack. Cause: none knows of the others.
+	// Guards against exceeding the budget after all instances were killed. They start at the same
+	// time, and none knows yet how many others there are: each would use the whole slack.
 	It("has no slack while the number of instances is not known", func() {
-		b := NewRetryBudget(&handClock{now: clock.Instant(time.Hour)}, config)
-		Expect(repeats(b, 0)).To(BeZero())
+		b := NewRetryBudget(&manualClock{now: clock.Instant(time.Hour)}, config)
+		Expect(countRetries(b, 0)).To(BeZero())
 	})
 
-	It("comes back as the window moves on", func() {
-		c := &handClock{now: clock.Instant(time.Hour)}
+	It("is restored as the window moves on", func() {
+		c := &manualClock{now: clock.Instant(time.Hour)}
 		b := NewRetryBudget(c, config)
-		Expect(repeats(b, 12)).To(Equal(4))
+		Expect(countRetries(b, 12)).To(Equal(4))
 		c.now = c.now.Add(5 * time.Second)
-		Expect(repeats(b, 12)).To(BeZero())
+		Expect(countRetries(b, 12)).To(BeZero())
 		c.now = c.now.Add(6 * time.Second)
-		Expect(repeats(b, 12)).To(Equal(4))
+		Expect(countRetries(b, 12)).To(Equal(4))
 	})
 })
 
-var _ = Describe("weights", func() {
-	It("are kept to the request", func() {
+var _ = Describe("the backend picker", func() {
+	It("follows the weights exactly", func() {
 		r := &rules.Rule{Name: "r", Then: rules.Then{Backends: []rules.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}}
-		w := NewWeights()
+		w := NewBackendPicker()
 		counts := map[string]int{}
 		for range 200 {
 			counts[w.Pick(r)]++
