--- a/transport/upstream/doc.go
+++ b/transport/upstream/doc.go
@@ -1,15 +1,16 @@
-// Package upstream sends requests to targets and reads their answers.
+// Package upstream sends requests to targets and reads their responses.
 //
-// It says exactly what is known of each try. Not sent: no byte of the request was taken by
-// a connection. Not run: the target said so. Answered: a whole answer that the target has
-// signed, to this very request. Everything else is broken: the request may have run.
+// It reports exactly what is known about each attempt. ErrNotSent: no byte of the request was taken
+// by a connection. ErrNotExecuted: the target said so. A Response: it is complete, signed by the
+// target, and belongs to this very request. In all other cases the error is ErrOutcomeUnknown: the
+// request may have been executed.
 //
-// Beside that it says what the target says of itself in its answer, and of a try that broke off whether
-// the target has ended: nobody listens at its address any more.
+// It also reports the target's status from the response headers, and, if an attempt broke off,
+// whether the target's process has exited (ErrTargetExited): its address refuses connections.
 //
-// A connection carries one request at a time. After an answer it is kept only if nothing
-// more has come on it. An answer to an earlier request that comes late is recognised by its
-// id and skipped.
+// A connection carries one request at a time. After a response it is reused only if no further
+// bytes have arrived on it. A late response to an earlier request is recognised by its request id
+// and skipped.
 //
 // Lock order: the Pool's lock is a leaf and is not held during input or output.
 package upstream
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -16,34 +16,37 @@
 	"lycheehall.example/lycheehall/protocol/wire"
 )
 
-// The errors of a try.
+// Errors of an attempt.
 var (
-	// ErrNotSent says that no byte of the request was taken by a connection.
+	// ErrNotSent means that no byte of the request was taken by a connection.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrNotExecuted says that the target has said that the request did not run.
-	ErrNotExecuted = errors.New("upstream: not run")
-	// ErrOutcomeUnknown says that the request may have run and that there is no whole answer.
-	ErrOutcomeUnknown = errors.New("upstream: broken off")
-	// ErrTargetExited comes with ErrBroken where the target's process has ended meanwhile: its address
-	// refuses connections.
-	ErrTargetExited = errors.New("upstream: the target has ended")
+	// ErrNotExecuted means that the target said that it did not execute the request.
+	ErrNotExecuted = errors.New("upstream: not executed by the target")
+	// ErrOutcomeUnknown means that the request may have been executed and there is no complete
+	// response.
+	ErrOutcomeUnknown = errors.New("upstream: no complete response, outcome unknown")
+	// ErrTargetExited is returned in addition to ErrOutcomeUnknown if the target's process has
+	// exited: its address refuses connections.
+	ErrTargetExited = errors.New("upstream: the target's process has exited")
 )
 
-// TargetStatus is what a target says of itself beside an answer.
+// TargetStatus is what a target reports about itself in the headers of a response.
 type TargetStatus struct {
-	// Known says that the target itself answered: what the word does not say, the target does not say.
+	// Known says that the target itself responded. A field that is zero was then not reported.
 	Known bool
 	// Leaving says that the target is about to leave.
 	Leaving bool
-	// Pause is how long the target wants nothing more from this instance; 0: it does not say.
+	// Pause is how long this instance should send nothing to the target; 0 if not reported.
 	Pause time.Duration
-	// Slowness is how many times as long as usual work takes at the target now; 0: it does not say.
+	// Slowness is the time that work takes at the target now, relative to its usual time; 0 if not
+	// reported.
 	Slowness float64
-	// Limit is how many requests a second the target takes from all instances together; 0: it names none.
+	// Limit is how many requests a second the target accepts from all instances together; 0 for no
+	// limit.
 	Limit float64
 }
 
-// NotExecutedError is a target's word that it did not run a request.
+// NotExecutedError is a response in which the target says that it did not execute the request.
 type NotExecutedError struct {
 	Status       int
 	TargetStatus TargetStatus
@@ -53,54 +56,55 @@
 	return fmt.Sprintf("%v: status %d", ErrNotExecuted, e.Status)
 }
 
-// Unwrap returns ErrNotRun.
+// Unwrap returns ErrNotExecuted.
 func (e *NotExecutedError) Unwrap() error { return ErrNotExecuted }
 
-// Request is what is sent to a target.
+// Request is a request to a target.
 type Request struct {
 	ID     string
 	Method string
-	// URI is the request line's target, unchanged from the caller.
+	// URI is the target of the request line, unchanged from the caller.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Idempotent says that the request may run twice.
+	// Idempotent says that the request may be executed twice.
 	Idempotent bool
 }
 
-// Response is a target's whole answer.
+// Response is a target's complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Close says that the target closes the connection, as one that leaves does.
+	// Close says that the target closes the connection, as leaving targets do.
 	Close        bool
 	TargetStatus TargetStatus
 }
 
-// Target is where a request goes.
+// Target identifies a target and its address.
 type Target struct {
-	// ID is what connections are kept under: a process that was started again has none.
+	// ID is the key under which connections are pooled. It differs for each start of a process, so
+	// that a restarted target begins without connections.
 	ID string
-	// Name is what the target goes by; it refuses requests for another.
+	// Name is the target's own name; a target refuses requests for another name.
 	Name    string
 	Address string
-	// MaxConnections bounds this instance's connections to the target; 0: no bound.
+	// MaxConnections is the largest number of connections of this instance to the target; 0 for no
+	// limit.
 	MaxConnections int
 }
 
 const (
-	// maxAnswer bounds the answers that are kept in memory, in bytes.
-	maxAnswer = 64 << 20
-	// maxLate is how many answers to earlier requests are skipped.
-	maxLate = 8
-	// inlineBody is the largest body that is written before the answer is awaited. It fits
-	// the windows of a connection, so that writing it cannot block on a target that does
-	// not read.
-	inlineBody = 2 << 10
-	// longestPause bounds what is taken from a Retry-After header, which could overflow a duration.
-	longestPause = 24 * time.Hour
+	// maxResponseBytes bounds response bodies, which are buffered in memory.
+	maxResponseBytes = 64 << 20
+	// maxLateResponses bounds how many responses are read in search of the one to this request.
+	maxLateResponses = 8
+	// maxInlineBytes is how much of a request is written before the response is awaited. It fits
+	// the connection's windows, so that the write cannot block on a target that does not read.
+	maxInlineBytes = 2 << 10
+	// maxPause bounds the value of a Retry-After header, which could overflow a duration.
+	maxPause = 24 * time.Hour
 )
 
 // Client sends requests to targets.
@@ -109,10 +113,10 @@
 	names wire.Names
 }
 
-// NewClient returns a client that uses the pool.
+// NewClient returns a client that uses the connections of the pool.
 func NewClient(pool *Pool, names wire.Names) *Client { return &Client{pool: pool, names: names} }
 
-// Do makes one try. The deadline of ctx is told to the target.
+// Do makes one attempt. The time until the deadline of ctx is sent to the target.
 func (c *Client) Do(ctx context.Context, t Target, r *Request) (*Response, error) {
 	conn := c.pool.take(t.ID, !r.Idempotent)
 	if conn == nil {
@@ -121,87 +125,88 @@
 			return nil, err
 		}
 	}
-	// The end of ctx ends reading and writing at once: a target stops work on a request
-	// whose connection is closed.
+	// When ctx ends, so does all reading and writing. Closing the connection makes the target stop
+	// working on the request.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	x := &exchange{client: c, conn: conn, target: t, request: r}
-	answer, err := x.run(ctx)
+	resp, err := x.run(ctx)
 	if !stop() || err != nil && !errors.Is(err, ErrNotExecuted) {
 		c.pool.discard(t.ID, conn)
 		if err == nil {
-			return answer, nil
+			return resp, nil
 		}
-		if x.cut && ctx.Err() == nil && c.pool.refuses(ctx, t) {
+		if x.connectionLost && ctx.Err() == nil && c.pool.hasExited(ctx, t) {
 			err = fmt.Errorf("%w: %w", ErrTargetExited, err)
 		}
 		return nil, err
 	}
-	if !x.clean {
+	if !x.reusable {
 		c.pool.discard(t.ID, conn)
-		return answer, err
+		return resp, err
 	}
-	c.pool.keep(t.ID, conn, x.keepAlive)
-	return answer, err
+	c.pool.put(t.ID, conn, x.keepAlive)
+	return resp, err
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	client  *Client
 	conn    *Conn
 	target  Target
 	request *Request
-	// clean says that the connection can carry another request.
-	clean     bool
+	// reusable says that the connection can carry another request.
+	reusable  bool
 	keepAlive string
-	// cut says that the connection ended after the request was sent on it, before its answer.
-	cut     bool
-	written chan error
+	// connectionLost says that the connection ended after the request was sent and before its
+	// response was complete.
+	connectionLost bool
+	writeDone      chan error
 }
 
 func (x *exchange) run(ctx context.Context) (*Response, error) {
 	req, text := x.encode(ctx)
 	if sent, err := x.write(text); err != nil {
 		if x.conn.reused {
-			x.client.pool.met(x.target.ID)
+			x.client.pool.recordDead(x.target.ID)
 		}
 		if sent == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return nil, x.broken(err)
+		return nil, x.outcomeUnknown(err)
 	}
-	resp, err := x.head(req)
+	resp, err := x.readHead(req)
 	if err != nil {
 		if x.conn.reused && ctx.Err() == nil {
-			x.client.pool.met(x.target.ID)
+			x.client.pool.recordDead(x.target.ID)
 		}
-		return nil, x.broken(err)
+		return nil, x.outcomeUnknown(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, x.broken(err)
+		return nil, x.outcomeUnknown(err)
 	}
-	if len(body) > maxAnswer {
-		return nil, fmt.Errorf("%w: the answer is too large", ErrOutcomeUnknown)
+	if len(body) > maxResponseBytes {
+		return nil, fmt.Errorf("%w: the response body exceeds the size limit", ErrOutcomeUnknown)
 	}
-	x.judgeConnection(resp)
-	return x.judge(resp, body)
+	x.checkReusable(resp)
+	return x.interpret(resp, body)
 }
 
-// broken says that there is no whole answer, and notes whether that is since the connection ended.
-func (x *exchange) broken(err error) error {
+// outcomeUnknown wraps err in ErrOutcomeUnknown, and records whether the connection was lost.
+func (x *exchange) outcomeUnknown(err error) error {
 	var failed *net.OpError
-	x.cut = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed)
+	x.connectionLost = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed)
 	return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 }
 
-// encode returns the request as it goes over the wire.
+// encode returns the request as it is written to the connection, and as http.ReadResponse needs it.
 func (x *exchange) encode(ctx context.Context) (*http.Request, []byte) {
 	r := x.request
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
-	// The writer is a buffer, which does not fail.
+	// Writing to a bytes.Buffer does not fail.
 	_ = r.Header.Write(&b)
 	names := x.client.names
 	if deadline, ok := ctx.Deadline(); ok {
@@ -213,32 +218,33 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	// Only the method matters for reading the answer.
+	// http.ReadResponse uses only the method.
 	return &http.Request{Method: r.Method}, b.Bytes()
 }
 
-// write sends the request and returns how many bytes the connection has taken. A long one
-// is written beside the reading of the answer: a target may answer before it has read all,
-// and not read on until its answer has been taken.
+// write sends the request and returns the number of bytes that the connection has taken. The rest
+// of a long request is written while the response is being read: a target may respond before it has
+// read the whole request, and not read on until its response has been taken.
 func (x *exchange) write(text []byte) (int, error) {
-	if len(text) <= inlineBody {
+	if len(text) <= maxInlineBytes {
 		return x.conn.Write(text)
 	}
-	sent, err := x.conn.Write(text[:inlineBody])
+	sent, err := x.conn.Write(text[:maxInlineBytes])
 	if err != nil {
 		return sent, err
 	}
-	x.written = make(chan error, 1)
+	x.writeDone = make(chan error, 1)
 	go func() {
-		_, err := x.conn.Write(text[inlineBody:])
-		x.written <- err
+		_, err := x.conn.Write(text[maxInlineBytes:])
+		x.writeDone <- err
 	}()
 	return sent, nil
 }
 
-// head reads the head of the answer, and skips answers to earlier requests.
-func (x *exchange) head(req *http.Request) (*http.Response, error) {
-	for range maxLate {
+// readHead reads the head of the response. It skips informational responses and late responses to
+// earlier requests.
+func (x *exchange) readHead(req *http.Request) (*http.Response, error) {
+	for range maxLateResponses {
 		resp, err := http.ReadResponse(x.conn.reader, req)
 		if err != nil {
 			return nil, err
@@ -250,67 +256,68 @@
 		if id == "" || id == x.request.ID {
 			return resp, nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("only answers to other requests")
+	return nil, errors.New("received only responses to other requests")
 }
 
-// judgeConnection decides whether the connection can be used again.
-func (x *exchange) judgeConnection(resp *http.Response) {
+// checkReusable decides whether the connection can carry another request.
+func (x *exchange) checkReusable(resp *http.Response) {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	if x.written != nil {
+	if x.writeDone != nil {
 		select {
-		case err := <-x.written:
+		case err := <-x.writeDone:
 			framed = framed && err == nil
 		default:
-			// The rest of the body is still on its way.
+			// The rest of the request is still being written.
 			framed = false
 		}
 	}
-	x.clean = framed && !resp.Close && x.conn.reader.Buffered() == 0
+	x.reusable = framed && !resp.Close && x.conn.reader.Buffered() == 0
 	x.keepAlive = resp.Header.Get("Keep-Alive")
 }
 
-// judge decides what an answer says.
-func (x *exchange) judge(resp *http.Response, body []byte) (*Response, error) {
+// interpret turns the target's response into a Response or an error.
+func (x *exchange) interpret(resp *http.Response, body []byte) (*Response, error) {
 	names := x.client.names
 	if resp.Header.Get(names.NotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest {
-		return nil, &NotExecutedError{Status: resp.StatusCode, TargetStatus: x.word(resp)}
+		return nil, &NotExecutedError{Status: resp.StatusCode, TargetStatus: x.targetStatus(resp)}
 	}
 	if resp.Header.Get(names.Signature) == "" || resp.Header.Get(names.RequestID) != x.request.ID {
-		return nil, fmt.Errorf("%w: status %d without the target's signature", ErrOutcomeUnknown, resp.StatusCode)
+		return nil, fmt.Errorf("%w: response with status %d is not signed by the target", ErrOutcomeUnknown, resp.StatusCode)
 	}
-	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Close: resp.Close, TargetStatus: x.word(resp)}, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Close: resp.Close, TargetStatus: x.targetStatus(resp)}, nil
 }
 
-// word returns what the target says of itself. Another one that has come to its address speaks for
-// itself only.
-func (x *exchange) word(resp *http.Response) TargetStatus {
+// targetStatus returns the status that the target reported. If another target has got the address,
+// the status is not that of this one and is ignored.
+func (x *exchange) targetStatus(resp *http.Response) TargetStatus {
 	names := x.client.names
 	if who := resp.Header.Get(names.AnsweredBy); who != "" && who != x.target.Name {
 		return TargetStatus{}
 	}
 	w := TargetStatus{Known: true, Leaving: resp.Header.Get(names.Leaving) != ""}
-	w.Limit = limitOf(resp.Header.Get(names.Limit))
-	w.Slowness = slownessOf(resp.Header.Get(names.Load))
+	w.Limit = parseLimit(resp.Header.Get(names.Limit))
+	w.Slowness = parseSlowness(resp.Header.Get(names.Load))
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		w.Pause = pauseOf(resp.Header.Get("Retry-After"))
+		w.Pause = parseRetryAfter(resp.Header.Get("Retry-After"))
 	}
 	return w
 }
 
 const (
-	// loadFields is the number of figures in a load header: requests running, waiting and slots, and how
-	// long work takes now, in percent of the usual. Older targets send the first three.
+	// loadFields is the number of fields of a load header: requests running, requests waiting,
+	// slots, and the time that work takes now in percent of the usual. Older targets send only the
+	// first three.
 	loadFields = 4
-	// mostSlowness bounds what is believed of the last one.
-	mostSlowness = 100
+	// maxSlowness bounds the slowness that is accepted.
+	maxSlowness = 100
 )
 
-// slownessOf reads how many times as long as usual work takes from a load header; 0: it does not say.
-func slownessOf(header string) float64 {
+// parseSlowness returns the slowness from a load header; 0 if it has none.
+func parseSlowness(header string) float64 {
 	fields := strings.Split(header, ",")
 	if len(fields) != loadFields {
 		return 0
@@ -319,32 +326,32 @@
 	if err != nil || math.IsNaN(percent) || percent <= 0 {
 		return 0
 	}
-	return min(percent/100, mostSlowness)
+	return min(percent/100, maxSlowness)
 }
 
 const (
-	// leastLimit stands for any lower one, in requests a second: a target that gets no request at all
-	// cannot name another limit.
-	leastLimit = 0.05
-	// mostLimit bounds what is believed, in requests a second.
-	mostLimit = 1e6
+	// minLimit, in requests a second, replaces lower limits: a target that gets no request at all
+	// could not report another limit.
+	minLimit = 0.05
+	// maxLimit bounds the limit that is accepted, in requests a second.
+	maxLimit = 1e6
 )
 
-// limitOf reads a limit in requests a second; 0: the header names none.
-func limitOf(header string) float64 {
+// parseLimit returns the limit from a limit header, in requests a second; 0 if it has none.
+func parseLimit(header string) float64 {
 	perSecond, err := strconv.ParseFloat(strings.TrimSpace(header), 64)
 	if err != nil || math.IsNaN(perSecond) || perSecond < 0 {
 		return 0
 	}
-	return min(max(perSecond, leastLimit), mostLimit)
+	return min(max(perSecond, minLimit), maxLimit)
 }
 
-// pauseOf reads a Retry-After header in seconds, which may have a fraction. Whatever else it holds says
-// nothing.
-func pauseOf(header string) time.Duration {
+// parseRetryAfter returns the time from a Retry-After header in seconds, which may have a fraction.
+// It returns 0 for any other content.
+func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
 		return 0
 	}
-	return time.Duration(min(seconds, longestPause.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second))
 }
--- a/transport/upstream/pool.go
+++ b/transport/upstream/pool.go
@@ -19,33 +19,35 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection to a target, which is a few
-	// milliseconds away. Its queue of new connections may be full; the next try then comes
-	// a second later, which is too late for most requests.
+	// dialTimeout bounds connecting to a target, which is a few milliseconds away. If the target's
+	// accept queue is full, TCP retries only after a second, too late for most requests.
 	dialTimeout = 350 * time.Millisecond
-	// refusedWithin bounds the connection that shows whether a target has ended. Who waits for it is
-	// a caller whose request broke off, and whom a repeat may still serve.
-	refusedWithin = 100 * time.Millisecond
-	// refusedLooks bounds the connections that are made for that, refusedPause is the time between two.
-	refusedLooks = 3
-	refusedPause = 20 * time.Millisecond
-	// settleTime is how long a new connection is watched before a request is sent on it, beside
-	// the time that its making took. A target that has as many connections as it accepts, or
-	// whose queue is long, accepts one more and resets it at once. A request that was written
-	// meanwhile has an unknown outcome; one that was not can be sent to another target. After all
-	// instances have lost power targets still count the connections of the former processes.
+	// exitCheckTimeout bounds the check whether a target has exited. A caller whose request broke
+	// off waits for it, and a retry may still serve that caller.
+	exitCheckTimeout = 100 * time.Millisecond
+	// exitCheckAttempts is the number of connections that the check tries to make,
+	// exitCheckInterval the time between them.
+	exitCheckAttempts = 3
+	exitCheckInterval = 20 * time.Millisecond
+	// settleTime is how long a new connection is watched before a request is sent on it, in
+	// addition to the time it took to connect. A target that has reached its number of connections,
+	// or whose queue is long, accepts a connection and resets it at once. A request already written
+	// on it would have an unknown outcome; one not yet written can go to another target. This
+	// happens after all instances have lost power: targets still count the connections of the
+	// former processes.
 	settleTime = 2 * time.Millisecond
-	// idleDefault is how long an unused connection is kept when the target does not say.
-	idleDefault = 4 * time.Second
-	// idleSlack is taken off what the target says, so that a request does not meet the
-	// target's closing.
-	idleSlack = time.Second
-	// wary is how long connections that were idle for longer than freshFor are not used
-	// for requests that must not run twice, after one was found dead with a request on it.
-	wary     = 15 * time.Second
-	freshFor = 500 * time.Millisecond
-	// readBuffer holds the head of an answer.
-	readBuffer = 4 << 10
+	// defaultIdleTimeout is how long an idle connection is kept if the target reports no timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the timeout that the target reports, so that no request is sent
+	// while the target closes the connection.
+	idleMargin = time.Second
+	// distrustPeriod is how long connections that were idle for more than maxTrustedIdle are not
+	// used for requests that must not be executed twice, after a request was lost on a dead
+	// connection.
+	distrustPeriod = 15 * time.Second
+	maxTrustedIdle = 500 * time.Millisecond
+	// readBufferSize is enough for the head of a response, in bytes.
+	readBufferSize = 4 << 10
 )
 
 var (
@@ -57,16 +59,16 @@
 type Conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// reused says that it has carried a request before.
-	reused  bool
-	idleAt  time.Time
-	idleFor time.Duration
+	// reused says that the connection has carried a request before.
+	reused      bool
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool caches connections to targets. It is safe for concurrent use.
 type Pool struct {
-	// settle is settleTime but in tests.
-	settle time.Duration
+	// settleTime replaces the constant settleTime in tests.
+	settleTime time.Duration
 
 	mu      sync.Mutex
 	targets map[string]*connections
@@ -75,12 +77,12 @@
 type connections struct {
 	idle []*Conn
 	open int
-	// deadAt is when a request met a kept connection that was dead.
-	deadAt time.Time
+	// lastDeadAt is when a request was last lost on an idle connection that was dead.
+	lastDeadAt time.Time
 }
 
 // NewPool returns an empty pool.
-func NewPool() *Pool { return &Pool{settle: settleTime, targets: map[string]*connections{}} }
+func NewPool() *Pool { return &Pool{settleTime: settleTime, targets: map[string]*connections{}} }
 
 func (p *Pool) target(id string) *connections {
 	c := p.targets[id]
@@ -91,18 +93,18 @@
 	return c
 }
 
-// take returns a kept connection, or nil. Risky says that the request must not be lost to a
-// connection that the target has forgotten.
-func (p *Pool) take(id string, risky bool) *Conn {
+// take returns an idle connection, or nil if there is none. mustNotBeLost says that the request
+// must not be sent on a connection that the target may have dropped without notice.
+func (p *Pool) take(id string, mustNotBeLost bool) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(id)
-	careful := risky && time.Since(t.deadAt) < wary
+	freshOnly := mustNotBeLost && time.Since(t.lastDeadAt) < distrustPeriod
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
-		age := time.Since(c.idleAt)
-		if age < c.idleFor && !(careful && age > freshFor) && c.reader.Buffered() == 0 && wire.Reusable(c.Conn) {
+		age := time.Since(c.idleSince)
+		if age < c.idleTimeout && !(freshOnly && age > maxTrustedIdle) && c.reader.Buffered() == 0 && wire.Reusable(c.Conn) {
 			return c
 		}
 		connectionsStale.Inc()
@@ -112,66 +114,68 @@
 	return nil
 }
 
-// dial makes a connection. Limit bounds the connections of this instance to the target.
+// dial makes a connection. limit is the largest number of connections of this instance to the
+// target; 0 for no limit.
 func (p *Pool) dial(ctx context.Context, id, address string, limit int) (*Conn, error) {
 	p.mu.Lock()
 	t := p.target(id)
 	if limit > 0 && t.open >= limit {
 		p.mu.Unlock()
-		return nil, fmt.Errorf("%w: %d connections to %s are open", ErrNotSent, limit, id)
+		return nil, fmt.Errorf("%w: all %d allowed connections to target %s are open", ErrNotSent, limit, id)
 	}
 	t.open++
 	p.mu.Unlock()
 	dialer := net.Dialer{Timeout: dialTimeout}
-	begun := time.Now()
+	start := time.Now()
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		err = settled(raw, time.Since(begun)+p.settle)
+		err = awaitSettled(raw, time.Since(start)+p.settleTime)
 	}
 	if err != nil {
-		p.closed(id)
+		p.countClosed(id)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	connectionsMade.Inc()
-	return &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), idleFor: idleDefault}, nil
+	return &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// refuses reports whether nobody listens at a target's address any more. A connection that can be
-// made is kept for the next request.
+// hasExited reports whether the target's process has exited: nobody listens at its address any
+// more. If a connection can be made, it is kept for the next request.
 //
-// A connection that breaks with a request on it may have been reset on the way, or by a target that
-// is full. Only a target that has ended refuses the next one as well. While its process is being taken down
-// its address may still accept connections and reset them, so it is looked at again.
-func (p *Pool) refuses(ctx context.Context, t Target) bool {
-	ctx, cancel := context.WithTimeout(ctx, refusedWithin)
+// A connection that breaks during a request may have been reset by the network, or by a target that
+// is full. Only if the process has exited is the next connection refused too. While a process is
+// being taken down, its address may still accept and reset connections, so that the check is
+// repeated.
+func (p *Pool) hasExited(ctx context.Context, t Target) bool {
+	ctx, cancel := context.WithTimeout(ctx, exitCheckTimeout)
 	defer cancel()
-	for look := 1; ; look++ {
+	for attempt := 1; ; attempt++ {
 		conn, err := p.dial(ctx, t.ID, t.Address, t.MaxConnections)
 		switch {
 		case err == nil:
-			p.keep(t.ID, conn, "")
+			p.put(t.ID, conn, "")
 			return false
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return true
-		case look == refusedLooks:
+		case attempt == exitCheckAttempts:
 			return false
 		}
 		select {
-		case <-time.After(refusedPause):
+		case <-time.After(exitCheckInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// settled watches a new connection for a while, and closes it if it does not stay open and
-// silent.
-func settled(conn net.Conn, wait time.Duration) error {
+// awaitSettled watches a new connection for a while. It closes the connection and returns an error
+// if the target closes it or sends anything.
+func awaitSettled(conn net.Conn, wait time.Duration) error {
 	err := conn.SetReadDeadline(time.Now().Add(wait))
 	if err == nil {
 		var b [1]byte
 		if _, err = conn.Read(b[:]); err == nil {
-			err = errors.New("bytes before any request")
+			err = errors.New("target sent data before any request")
 		}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -183,48 +187,49 @@
 	return err
 }
 
-func (p *Pool) closed(id string) {
+func (p *Pool) countClosed(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(id)
 	t.open--
-	if t.open <= 0 && len(t.idle) == 0 && time.Since(t.deadAt) > wary {
+	if t.open <= 0 && len(t.idle) == 0 && time.Since(t.lastDeadAt) > distrustPeriod {
 		delete(p.targets, id)
 	}
 }
 
-// discard closes a connection that cannot be used any more.
+// discard closes a connection that cannot be reused.
 func (p *Pool) discard(id string, c *Conn) {
 	c.Close()
-	p.closed(id)
+	p.countClosed(id)
 }
 
-// met notes that a request found a kept connection dead.
-func (p *Pool) met(id string) {
+// recordDead records that a request was lost on an idle connection that was dead.
+func (p *Pool) recordDead(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.target(id).deadAt = time.Now()
+	p.target(id).lastDeadAt = time.Now()
 }
 
-// keep puts a connection back. keepAlive is what the target said about how long it keeps it.
-func (p *Pool) keep(id string, c *Conn, keepAlive string) {
-	if d, ok := keptFor(keepAlive); ok {
-		c.idleFor = d
+// put returns a connection to the pool. keepAlive is the target's Keep-Alive header.
+func (p *Pool) put(id string, c *Conn, keepAlive string) {
+	if d, ok := parseKeepAlive(keepAlive); ok {
+		c.idleTimeout = d
 	}
-	if c.idleFor <= 0 {
+	if c.idleTimeout <= 0 {
 		p.discard(id, c)
 		return
 	}
 	c.reused = true
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(id)
 	t.idle = append(t.idle, c)
 }
 
-// keptFor reads the timeout of a Keep-Alive header.
-func keptFor(header string) (time.Duration, bool) {
+// parseKeepAlive returns how long a connection may stay idle according to a Keep-Alive header, and
+// whether the header has a timeout.
+func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -234,20 +239,21 @@
 		if err != nil {
 			return 0, false
 		}
-		return time.Duration(seconds)*time.Second - idleSlack, true
+		return time.Duration(seconds)*time.Second - idleMargin, true
 	}
 	return 0, false
 }
 
-// CloseExpired closes connections that were idle for too long, and those to targets that are gone.
-func (p *Pool) CloseExpired(keep func(target string) bool) {
+// CloseExpired closes connections that have been idle for too long, and idle connections to targets
+// that are no longer listed.
+func (p *Pool) CloseExpired(listed func(target string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for id, t := range p.targets {
 		kept := t.idle[:0]
 		for _, c := range t.idle {
-			if keep(id) && now.Sub(c.idleAt) < c.idleFor {
+			if listed(id) && now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
@@ -256,7 +262,7 @@
 		}
 		clear(t.idle[len(kept):])
 		t.idle = kept
-		if t.open <= 0 && now.Sub(t.deadAt) > wary {
+		if t.open <= 0 && now.Sub(t.lastDeadAt) > distrustPeriod {
 			delete(p.targets, id)
 		}
 	}
--- a/transport/upstream/ended_test.go
+++ b/transport/upstream/targetexit_test.go
@@ -9,9 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a try that breaks off", func() {
-	// The target's process ends as it runs the request: its listener closes with its connections.
-	It("tells that the target has ended when nobody listens there any more", func() {
+var _ = Describe("an attempt that breaks off", func() {
+	// The process exits while it runs the request: its listener closes together with its
+	// connections.
+	It("reports that the target has exited when nobody listens at its address any more", func() {
 		var t *target
 		t = startTarget(func(conn net.Conn, _ *http.Request, _ int) {
 			t.listener.Close()
@@ -22,7 +23,7 @@
 		Expect(err).To(MatchError(ErrTargetExited))
 	})
 
-	It("tells so where its address resets connections for a moment before it refuses them (guards against an end that is not noticed on a busy machine)", func() {
+	It("reports it too if the address resets connections for a moment before it refuses them (guards against an exit that is not noticed on a busy machine)", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		go func() {
@@ -33,7 +34,7 @@
 				}
 				if n == 0 {
 					_, _ = conn.Read(make([]byte, 1))
-					time.AfterFunc(refusedPause/2, func() { l.Close() })
+					time.AfterFunc(exitCheckInterval/2, func() { l.Close() })
 				}
 				reset(conn)
 			}
@@ -42,23 +43,23 @@
 		Expect(err).To(MatchError(ErrTargetExited))
 	})
 
-	DescribeTable("does not tell so of a target that lives", func(answer script) {
-		t := startTarget(answer)
+	DescribeTable("does not report it for a target that is alive", func(respond script) {
+		t := startTarget(respond)
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(ErrTargetExited))
 	},
 		Entry("and resets the connection", script(func(conn net.Conn, _ *http.Request, _ int) { reset(conn) })),
-		Entry("and closes it in the middle of an answer", script(func(conn net.Conn, _ *http.Request, _ int) {
+		Entry("and closes it in the middle of a response", script(func(conn net.Conn, _ *http.Request, _ int) {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha"))
 			conn.Close()
 		})),
-		Entry("and sends what is no answer", script(func(conn net.Conn, _ *http.Request, _ int) {
+		Entry("and sends something other than a response", script(func(conn net.Conn, _ *http.Request, _ int) {
 			_, _ = conn.Write([]byte("nonsense\r\n\r\n"))
 		})),
 	)
 
-	It("does not tell so when the time of the request ran out", func() {
+	It("does not report it when the request timed out", func() {
 		var t *target
 		t = startTarget(func(net.Conn, *http.Request, int) {
 			t.listener.Close()
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -26,10 +26,10 @@
 	RequestID: "Id", Timeout: "Timeout", Signature: "Signed", Target: "Target", NotExecuted: "Not-Run", Key: "Key", Leaving: "Leaving", Limit: "Limit", Load: "Load", AnsweredBy: "Target-Is",
 }
 
-// script answers one request on a connection; n counts the requests of that connection.
+// script answers one request on a connection; n is the number of the request on it, from 1.
 type script func(conn net.Conn, r *http.Request, n int)
 
-// target runs a script behind a socket.
+// target is a test server that runs a script for each request.
 type target struct {
 	Target
 	listener    net.Listener
@@ -37,11 +37,11 @@
 	requests    atomic.Int64
 }
 
-func startTarget(answer script) *target {
+func startTarget(respond script) *target {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	// A script may have closed it already.
+	// The script may have closed the listener already.
 	DeferCleanup(func() { _ = l.Close() })
 	t := &target{Target: Target{ID: "t1@5", Name: "t1", Address: l.Addr().String()}, listener: l}
 	go func() {
@@ -51,13 +51,13 @@
 				return
 			}
 			t.connections.Add(1)
-			go t.serve(conn, answer)
+			go t.serve(conn, respond)
 		}
 	}()
 	return t
 }
 
-func (t *target) serve(conn net.Conn, answer script) {
+func (t *target) serve(conn net.Conn, respond script) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for n := 1; ; n++ {
@@ -66,11 +66,11 @@
 			return
 		}
 		t.requests.Add(1)
-		answer(conn, r, n)
+		respond(conn, r, n)
 	}
 }
 
-// reply writes an answer with the given id.
+// reply writes a response with the given request id.
 func reply(conn net.Conn, id, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
@@ -101,7 +101,7 @@
 }
 
 var _ = Describe("an exchange", func() {
-	It("passes the request on, with the target's name and the time left", func() {
+	It("sends the request with the target's name and the time left", func() {
 		seen := make(chan *http.Request, 1)
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) { seen <- r; echo(conn, r, n) })
 		a, err := newClient().Do(within(2*time.Second), t.Target, get("1"))
@@ -113,7 +113,7 @@
 		Expect(r.Host).To(Equal("h.example"))
 	})
 
-	It("uses a connection again", func() {
+	It("reuses a connection", func() {
 		t := startTarget(echo)
 		c := newClient()
 		for i := range 5 {
@@ -123,16 +123,16 @@
 		Expect(t.connections.Load()).To(Equal(int64(1)))
 	})
 
-	It("says that nothing was sent when nobody listens", func() {
+	It("reports that nothing was sent when nobody listens", func() {
 		t := startTarget(echo)
 		t.Address = "127.0.0.1:1"
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).To(MatchError(ErrNotSent))
 	})
 
-	// Symptom: bookings end with an unknown outcome that no target has seen.
-	// Sequence: the target has as many connections as it takes, accepts one more and resets it
-	// while the booking is being written. Cause: it was written at once.
+	// Guards against requests with an unknown outcome that no target has seen. A target that has
+	// reached its number of connections accepts one more and resets it while the request is being
+	// written.
 	It("sends nothing on a new connection that is reset at once", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -147,26 +147,25 @@
 			}
 		}()
 		c := newClient()
-		c.pool.settle = 10 * time.Second
-		begun := time.Now()
+		c.pool.settleTime = 10 * time.Second
+		start := time.Now()
 		_, err = c.Do(within(20*time.Second), Target{ID: "t1", Name: "t1", Address: l.Addr().String()}, post("1", "b"))
 		Expect(err).To(MatchError(ErrNotSent))
-		Expect(time.Since(begun)).To(BeNumerically("<", 5*time.Second))
+		Expect(time.Since(start)).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// Symptom: a booking is refused as not run, and had run.
-	// Sequence: the target takes the request and resets the connection.
-	// Cause: a reset says nothing about what was run.
-	It("does not call a request not run after a reset", func() {
+	// Guards against refusing a request as not executed when it was executed: a reset does not tell
+	// what the target has run.
+	It("does not report a request as not sent after a reset", func() {
 		t := startTarget(func(conn net.Conn, _ *http.Request, _ int) { reset(conn) })
 		_, err := newClient().Do(within(time.Second), t.Target, post("1", "b"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(ErrNotSent))
 	})
 
-	// Symptom: a caller gets half of an answer that looks whole.
-	// Cause: the target broke off in the middle of the body.
-	It("does not take half an answer for a whole one", func() {
+	// Guards against passing on half a response as a complete one when the target breaks off in the
+	// middle of the body.
+	It("does not take half a response for a complete one", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nSigned: yes\r\nContent-Length: 100\r\n\r\nhalf")
 			conn.Close()
@@ -175,7 +174,7 @@
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 	})
 
-	It("takes an answer without a length that ends with its connection", func() {
+	It("accepts a response without a length that ends with its connection", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nSigned: yes\r\n\r\nwhole")
 			conn.Close()
@@ -185,7 +184,7 @@
 		Expect(string(a.Body)).To(Equal("whole"))
 	})
 
-	It("does not take an answer without a length that ends with a reset", func() {
+	It("does not accept a response without a length that ends with a reset", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nSigned: yes\r\n\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
@@ -195,11 +194,10 @@
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 	})
 
-	// Symptom: a caller gets the answer to somebody else's request.
-	// Sequence: the target answers one request twice; the second answer comes where the
-	// answer to the next request is due.
-	// Cause: answers are matched by their order alone.
-	It("skips a late answer to an earlier request", func() {
+	// Guards against giving a caller the response to another request. A target may answer one
+	// request twice; the second response then arrives where the response to the next request is
+	// due, so that matching by order is not enough.
+	It("skips a late response to an earlier request", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) {
 			if n == 2 {
 				reply(conn, "1", "for 1 again")
@@ -214,7 +212,7 @@
 		Expect(string(a.Body)).To(Equal("for 2"))
 	})
 
-	It("does not use a connection again on which more came than the answer", func() {
+	It("does not reuse a connection on which data followed the response", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) {
 			echo(conn, r, n)
 			reply(conn, r.Header.Get("Id"), "more")
@@ -229,7 +227,7 @@
 		Expect(t.connections.Load()).To(Equal(int64(3)))
 	})
 
-	It("does not pass on an answer that the target has not signed", func() {
+	It("does not accept a response that the target has not signed", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
 		})
@@ -237,7 +235,7 @@
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 	})
 
-	DescribeTable("believes a target that did not run a request",
+	DescribeTable("accepts that the target did not execute the request",
 		func(status int, header string) {
 			t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 				fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", status, header)
@@ -245,11 +243,11 @@
 			_, err := newClient().Do(within(time.Second), t.Target, post("1", "b"))
 			Expect(err).To(MatchError(ErrNotExecuted))
 		},
-		Entry("full", 503, "Not-Run: 1\r\n"),
-		Entry("another target", 421, ""),
+		Entry("the target is full", 503, "Not-Run: 1\r\n"),
+		Entry("another target is at the address", 421, ""),
 	)
 
-	It("does not believe a refusal without the target's word", func() {
+	It("does not accept a refusal without the target's header", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 		})
@@ -257,8 +255,8 @@
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 	})
 
-	// Symptom: a target works on for callers that have gone. Sequence: the caller leaves.
-	// Cause: the connection to the target stays open.
+	// Guards against targets that go on working for callers who have gone, because the connection
+	// to the target stays open.
 	It("closes the connection when the caller has gone", func() {
 		closed := make(chan error, 1)
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
@@ -272,10 +270,10 @@
 		Eventually(closed, "1s").Should(Receive(HaveOccurred()))
 	})
 
-	// Symptom: the target gets bytes of another request where the rest of a body is due.
-	// Sequence: it answers before it has read a long body, and reads on.
-	// Cause: the connection was used again with the body half written.
-	It("uses no connection again on which a body is still being written", func() {
+	// Guards against sending another request where the target expects the rest of a body. The
+	// target responds before it has read the whole body and reads on; the connection must not be
+	// reused with the body half written.
+	It("does not reuse a connection on which a body is still being written", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) { echo(conn, r, n) })
 		c := newClient()
 		long := strings.Repeat("x", 8<<20)
@@ -288,9 +286,9 @@
 		Expect(t.connections.Load()).To(Equal(int64(2)))
 	})
 
-	// Symptom: bookings fail on connections that the target has closed meanwhile.
-	// Cause: a kept connection looks usable until something is sent on it.
-	It("does not send on a kept connection that the target has closed", func() {
+	// Guards against losing requests on connections that the target has closed while they were
+	// idle. Such a connection looks usable until something is sent on it.
+	It("does not send on an idle connection that the target has closed", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) { echo(conn, r, n); conn.Close() })
 		c := newClient()
 		for i := range 3 {
@@ -312,32 +310,32 @@
 		Expect(err).To(MatchError(ErrNotSent))
 	})
 
-	// Symptom: bookings fail where a target forgets idle connections without notice.
-	// Sequence: a kept connection is found dead; the next booking uses another kept one.
-	It("is careful with kept connections after one was found dead", func() {
+	// Guards against losing requests where a target drops idle connections without notice: when one
+	// was found dead, the others are probably dead too.
+	It("avoids long-idle connections after one was found dead", func() {
 		p := NewPool()
-		p.met("t1")
+		p.recordDead("t1")
 		client, server := net.Pipe()
 		defer server.Close()
-		p.target("t1").idle = []*Conn{{Conn: client, reader: bufio.NewReader(client), idleAt: time.Now().Add(-time.Second), idleFor: time.Minute}}
+		p.target("t1").idle = []*Conn{{Conn: client, reader: bufio.NewReader(client), idleSince: time.Now().Add(-time.Second), idleTimeout: time.Minute}}
 		p.target("t1").open = 1
 		Expect(p.take("t1", true)).To(BeNil())
 	})
 })
 
-var _ = DescribeTable("the time for which a target keeps a connection",
+var _ = DescribeTable("the idle timeout from a Keep-Alive header",
 	func(header string, want time.Duration, given bool) {
-		d, ok := keptFor(header)
+		d, ok := parseKeepAlive(header)
 		Expect(ok).To(Equal(given))
 		Expect(d).To(Equal(want))
 	},
-	Entry("plain", "timeout=10", 9*time.Second, true),
-	Entry("with more", "max=5, timeout=3", 2*time.Second, true),
-	Entry("nothing", "", time.Duration(0), false),
+	Entry("timeout only", "timeout=10", 9*time.Second, true),
+	Entry("with other parameters", "max=5, timeout=3", 2*time.Second, true),
+	Entry("no header", "", time.Duration(0), false),
 	Entry("not a number", "timeout=soon", time.Duration(0), false),
 )
 
-// BenchmarkDo measures one request and its answer over a kept connection.
+// BenchmarkDo measures one request and its response over a reused connection.
 func BenchmarkDo(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
