--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -1,11 +1,12 @@
-// Package orders carries grants and releases of keys to targets.
+// Package orders sends grants, renewals and releases of keys to targets.
 //
-// An order goes to an address, but concerns one start of one process: a target that has been
-// started again at the same address, or another that got the address, must not be given the
-// keys of the former one under an old fence. So each order names the target that it is for;
-// any other one refuses it. A target that was started again under its name does not: a renewal
-// goes only over a connection that was open before the keys were last granted or renewed, which
-// the former process has ended with itself. Where there is none left the renewal is not sent.
+// An order is sent to an address, but is meant for one particular start of a process. A target that
+// has been restarted at the same address, or another target that has got the address, must not be
+// given the keys of the former one under an old fence. Each order therefore names its target, and
+// any other target refuses it. The name does not protect against a restart under the same name. A
+// renewal is therefore only sent over a connection that was open before the keys were last granted
+// or renewed: such a connection ended together with the former process. If there is none left, the
+// renewal is not sent.
 package orders
 
 import (
@@ -28,88 +29,91 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection to a target.
+	// dialTimeout bounds connecting to a target.
 	dialTimeout = 400 * time.Millisecond
-	// grantTimeout bounds grants. A target answers within a network delay, or two and the time
-	// of a lost packet; one that does not within this is taken to have failed once.
+	// grantTimeout bounds grants and renewals. A target responds within one network delay, or two
+	// plus the time to resend a lost packet; one that takes longer counts as having failed once.
 	grantTimeout = 450 * time.Millisecond
-	// turnTimeout bounds the wait for earlier grants to the same target: one that hangs, and
-	// the making of a new connection.
-	turnTimeout = grantTimeout + dialTimeout
-	// releaseTimeout bounds releases, which are answered when the running work has ended.
+	// grantSlotTimeout bounds the wait for earlier grants to the same target: one that hangs, and
+	// making a new connection.
+	grantSlotTimeout = grantTimeout + dialTimeout
+	// releaseTimeout bounds releases, which are answered once the running work has ended.
 	releaseTimeout = 6 * time.Second
-	// maxIdle is the number of connections kept for each target: as many as carry grants at a
-	// time, and one for a release beside them.
-	maxIdle = grantsAtOnce + 1
-	// grantsAtOnce is how many grants and renewals are under way to a target at a time; the
-	// others wait for their connections. A target may own dozens of ranges, each renewed
-	// every second: with a connection for each, renewals made most of all new connections to
-	// targets, which hold a slot for a moment. With fewer, a target that leaves half of its
-	// orders unanswered would not get them all within a hold.
-	grantsAtOnce = 4
-	// idleFor is how long an unused connection is kept; targets close theirs after 10 s.
-	idleFor = 5 * time.Second
+	// maxIdleConnections is the number of idle connections kept for each target: one for each
+	// concurrent grant, and one for a release.
+	maxIdleConnections = maxConcurrentGrants + 1
+	// maxConcurrentGrants is the number of grants and renewals sent to a target at the same time;
+	// the others wait. A target may own dozens of ranges, each renewed every second. If each
+	// renewal used its own connection, renewals would make most of the new connections to targets,
+	// and each holds a slot there for a moment. With a lower number, a target that leaves half of
+	// its orders unanswered would not get all of them within a hold.
+	maxConcurrentGrants = 4
+	// idleTimeout is how long an unused connection is kept; targets close theirs after 10 s.
+	idleTimeout = 5 * time.Second
 )
 
-// Encoder writes orders in the form that targets read.
+// Encoder translates orders into the requests that targets understand, and reads the handover
+// reference from their responses.
 type Encoder interface {
 	Grant(from, to uint16, fence uint64, hold time.Duration, handover string) (path string, body []byte, err error)
 	Release(from, to uint16, fence uint64) (path string, body []byte, err error)
 	Handover(h http.Header) string
 }
 
-// Client sends orders. It is safe for concurrent use.
+// Client sends orders to targets. It is safe for concurrent use.
 type Client struct {
 	encoder Encoder
 	names   wire.Names
 	clock   clock.Clock
-	// may is asked right before an order is sent; it reports whether this instance still
-	// leads. A process that was stopped between the decision and the sending must not send.
-	may func() bool
+	// isLeader reports whether this instance still leads. It is called right before an order is
+	// sent, since the process may have been suspended after the decision.
+	isLeader func() bool
 
 	mu      sync.Mutex
 	targets map[string]*connections
-	// turns holds a token for each grant under way to a target.
-	turns map[string]chan struct{}
+	// grantSlots holds, for each target, a token for each grant that is being sent to it.
+	grantSlots map[string]chan struct{}
 }
 
-// connections are those to one target.
+// connections holds the connections to one target.
 type connections struct {
 	idle []*conn
 	busy []*conn
-	// changed is closed when a busy one has become idle or was closed.
+	// changed is closed and replaced when a busy connection becomes idle or is closed.
 	changed chan struct{}
 }
 
+// conn is a connection to a target.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	usedAt time.Time
-	// openAt is when the connection was open at the latest.
-	openAt clock.Instant
+	reader    *bufio.Reader
+	idleSince time.Time
+	// openedAt is a time at which the connection was already open.
+	openedAt clock.Instant
 }
 
-// NewClient returns a client without connections.
-func NewClient(encoder Encoder, names wire.Names, c clock.Clock, may func() bool) *Client {
-	return &Client{encoder: encoder, names: names, clock: c, may: may, targets: map[string]*connections{}, turns: map[string]chan struct{}{}}
+// NewClient returns a client without connections. isLeader reports whether this instance leads.
+func NewClient(encoder Encoder, names wire.Names, c clock.Clock, isLeader func() bool) *Client {
+	return &Client{encoder: encoder, names: names, clock: c, isLeader: isLeader, targets: map[string]*connections{}, grantSlots: map[string]chan struct{}{}}
 }
 
-// Do carries out an order and says what is known of its effect, and when it was sent.
+// Do sends an order. It returns what is known about its effect, the handover reference of the
+// target's response, and when the order was sent; clock.Never if it was not sent.
 func (c *Client) Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant) {
 	if o.Kind != assign.Release {
-		done, err := c.turn(ctx, o.Target)
+		release, err := c.acquireGrantSlot(ctx, o.Target)
 		if err != nil {
 			return assign.NotSent, "", clock.Never
 		}
-		defer done()
+		defer release()
 	}
 	cn, err := c.connect(ctx, o)
-	if errors.Is(err, errOnlyNew) {
+	if errors.Is(err, errNoOldConnection) {
 		return assign.Unverified, "", clock.Never
 	}
-	if err != nil || !c.may() {
+	if err != nil || !c.isLeader() {
 		if cn != nil {
-			c.keep(o.Target, cn)
+			c.put(o.Target, cn)
 		}
 		return assign.NotSent, "", clock.Never
 	}
@@ -117,14 +121,14 @@
 	resp, err := c.exchange(cn, o)
 	if err != nil {
 		abort(cn)
-		c.forget(o.Target, cn)
+		c.removeClosed(o.Target, cn)
 		return assign.Unknown, "", sentAt
 	}
 	if resp.Close {
 		cn.Close()
-		c.forget(o.Target, cn)
+		c.removeClosed(o.Target, cn)
 	} else {
-		c.keep(o.Target, cn)
+		c.put(o.Target, cn)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -137,33 +141,33 @@
 	return assign.Unknown, "", sentAt
 }
 
-// errBusy says that earlier orders to the target took too long.
-var errBusy = errors.New("orders: earlier orders are still under way")
+// errNoGrantSlot means that no slot for a grant to the target became free in time.
+var errNoGrantSlot = errors.New("orders: no free slot for a grant to the target")
 
-// turn waits until a grant may be sent to a target. The returned function must be called
-// when the grant is over.
-func (c *Client) turn(ctx context.Context, target string) (done func(), err error) {
+// acquireGrantSlot waits until a grant may be sent to the target. The returned function must be
+// called when the grant is over.
+func (c *Client) acquireGrantSlot(ctx context.Context, target string) (release func(), err error) {
 	c.mu.Lock()
-	turns := c.turns[target]
-	if turns == nil {
-		turns = make(chan struct{}, grantsAtOnce)
-		c.turns[target] = turns
+	slots := c.grantSlots[target]
+	if slots == nil {
+		slots = make(chan struct{}, maxConcurrentGrants)
+		c.grantSlots[target] = slots
 	}
 	c.mu.Unlock()
-	timer := time.NewTimer(turnTimeout)
+	timer := time.NewTimer(grantSlotTimeout)
 	defer timer.Stop()
 	select {
-	case turns <- struct{}{}:
-		return func() { <-turns }, nil
+	case slots <- struct{}{}:
+		return func() { <-slots }, nil
 	case <-timer.C:
-		return nil, errBusy
+		return nil, errNoGrantSlot
 	case <-ctx.Done():
-		return nil, fmt.Errorf("orders: %w", ctx.Err())
+		return nil, fmt.Errorf("orders: wait to send a grant: %w", ctx.Err())
 	}
 }
 
-// abort closes a connection with a reset. What a cut holds back of an order is then lost
-// and does not arrive when the cut heals.
+// abort closes a connection with a reset. Parts of an order that are held back by a network
+// partition are then dropped and do not arrive when the partition heals.
 func abort(cn *conn) {
 	if tcp, ok := cn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -187,48 +191,51 @@
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+o.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: build request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(c.names.Target, view.TargetName(o.Target))
 	return cn.roundTrip(req, timeout)
 }
 
-// roundTrip sends a request and reads the whole answer.
+// roundTrip sends a request and reads the complete response.
 func (cn *conn) roundTrip(req *http.Request, timeout time.Duration) (*http.Response, error) {
 	if err := cn.SetDeadline(time.Now().Add(timeout)); err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: set deadline: %w", err)
 	}
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: encode request: %w", err)
 	}
 	if _, err := cn.Write(text.Bytes()); err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: write request: %w", err)
 	}
 	resp, err := http.ReadResponse(cn.reader, req)
 	if err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: read response: %w", err)
 	}
 	defer resp.Body.Close()
 	const maxBody = 64 << 10
 	if _, err := io.CopyN(io.Discard, resp.Body, maxBody); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("orders: the answer does not end: %w", err)
+		return nil, fmt.Errorf("orders: response body is too long or incomplete: %w", err)
 	}
 	return resp, nil
 }
 
-// errOnlyNew says that no connection to the target has been open for as long as the order asks.
-var errOnlyNew = errors.New("orders: there is no connection from before")
+// errNoOldConnection means that no connection to the target has been open for as long as the order
+// requires.
+var errNoOldConnection = errors.New("orders: no connection to the target is as old as the order requires")
 
-// oldWait bounds the wait for a connection that is old enough and in use. Renewals of one target
-// share few connections and come at the same time when all holds are extended; failing there and
-// then left keys unserved while the store was away. A release may keep one for seconds.
-const oldWait = 400 * time.Millisecond
+// maxConnectionWait bounds the wait for a connection that is old enough but in use. The renewals of
+// a target share few connections and come at the same time when all holds are extended. If they
+// failed without waiting, keys would be unserved while the store is unavailable. The wait must be
+// bounded, since a release may use a connection for seconds.
+const maxConnectionWait = 400 * time.Millisecond
 
-// connect returns a connection to the order's target.
+// connect returns a connection to the order's target that is old enough for the order, and marks it
+// as busy.
 func (c *Client) connect(ctx context.Context, o assign.Order) (*conn, error) {
-	timer := time.NewTimer(oldWait)
+	timer := time.NewTimer(maxConnectionWait)
 	defer timer.Stop()
 	for {
 		cn, changed := c.take(o)
@@ -239,14 +246,14 @@
 			return c.dial(ctx, o)
 		}
 		if changed == nil {
-			return nil, errOnlyNew
+			return nil, errNoOldConnection
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return nil, errOnlyNew
+			return nil, errNoOldConnection
 		case <-ctx.Done():
-			return nil, fmt.Errorf("orders: %w", ctx.Err())
+			return nil, fmt.Errorf("orders: wait for a connection: %w", ctx.Err())
 		}
 	}
 }
@@ -255,9 +262,9 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", o.Address)
 	if err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
+		return nil, fmt.Errorf("orders: connect to target: %w", err)
 	}
-	cn := &conn{Conn: raw, reader: bufio.NewReader(raw), openAt: c.clock.Now()}
+	cn := &conn{Conn: raw, reader: bufio.NewReader(raw), openedAt: c.clock.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.target(o.Target)
@@ -265,7 +272,7 @@
 	return cn, nil
 }
 
-// target returns the connections to a target. The caller holds the lock.
+// target returns the connections to a target. The caller must hold the lock.
 func (c *Client) target(id string) *connections {
 	t := c.targets[id]
 	if t == nil {
@@ -275,78 +282,80 @@
 	return t
 }
 
-// take returns an idle connection that seems to be open, and has been for as long as the order
-// asks; the one that was opened last, so that the older ones are there for orders that ask more.
-// If there is none but one in use would do, it returns what is closed when that changes.
+// take returns an idle connection that seems to be open and is old enough for the order. It takes
+// the youngest such connection, to leave older ones for orders that require them. If there is none,
+// but a busy one is old enough, it returns a channel that is closed when the busy connections
+// change.
 func (c *Client) take(o assign.Order) (*conn, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.target(o.Target)
-	var kept []*conn
+	var usable []*conn
 	for _, cn := range t.idle {
-		if time.Since(cn.usedAt) < idleFor && cn.reader.Buffered() == 0 && wire.Reusable(cn.Conn) {
-			kept = append(kept, cn)
+		if time.Since(cn.idleSince) < idleTimeout && cn.reader.Buffered() == 0 && wire.Reusable(cn.Conn) {
+			usable = append(usable, cn)
 			continue
 		}
 		cn.Close()
 	}
-	t.idle = kept
+	t.idle = usable
 	best := -1
 	for i, cn := range t.idle {
-		if cn.serves(o) && (best < 0 || cn.openAt > t.idle[best].openAt) {
+		if cn.isOldEnoughFor(o) && (best < 0 || cn.openedAt > t.idle[best].openedAt) {
 			best = i
 		}
 	}
 	if best >= 0 {
-		found := t.idle[best]
+		cn := t.idle[best]
 		t.idle = slices.Delete(t.idle, best, best+1)
-		t.busy = append(t.busy, found)
-		return found, nil
+		t.busy = append(t.busy, cn)
+		return cn, nil
 	}
-	if slices.ContainsFunc(t.busy, func(cn *conn) bool { return cn.serves(o) }) {
+	if slices.ContainsFunc(t.busy, func(cn *conn) bool { return cn.isOldEnoughFor(o) }) {
 		return nil, t.changed
 	}
 	return nil, nil
 }
 
-// serves reports whether the connection has been open for as long as an order asks.
-func (cn *conn) serves(o assign.Order) bool {
-	return o.ConnectedSince == clock.Never || cn.openAt <= o.ConnectedSince
+// isOldEnoughFor reports whether the connection has been open for as long as the order requires.
+func (cn *conn) isOldEnoughFor(o assign.Order) bool {
+	return o.ConnectedSince == clock.Never || cn.openedAt <= o.ConnectedSince
 }
 
-// forget takes a connection that was closed out of use.
-func (c *Client) forget(target string, cn *conn) {
+// removeClosed removes a connection that has been closed.
+func (c *Client) removeClosed(target string, cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.target(target).free(cn)
+	c.target(target).removeBusy(cn)
 }
 
-// free takes a connection out of use. The caller holds the client's lock.
-func (t *connections) free(cn *conn) {
+// removeBusy removes a connection from the busy ones. The caller must hold the client's lock.
+func (t *connections) removeBusy(cn *conn) {
 	t.busy = slices.DeleteFunc(t.busy, func(other *conn) bool { return other == cn })
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-func (c *Client) keep(target string, cn *conn) {
+// put returns a busy connection to the idle ones, or closes it if there are enough of them.
+func (c *Client) put(target string, cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cn.usedAt = time.Now()
+	cn.idleSince = time.Now()
 	t := c.target(target)
-	t.free(cn)
-	if len(t.idle) >= maxIdle {
+	t.removeBusy(cn)
+	if len(t.idle) >= maxIdleConnections {
 		cn.Close()
 		return
 	}
 	t.idle = append(t.idle, cn)
 }
 
-// RetainTargets closes the idle connections to targets that are not in the list.
-func (c *Client) RetainTargets(keep func(target string) bool) {
+// RetainTargets closes the idle connections to all targets that are not listed.
+func (c *Client) RetainTargets(listed func(target string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for target, t := range c.targets {
-		if keep(target) {
+		if listed(target) {
 			continue
 		}
 		for _, cn := range t.idle {
@@ -357,10 +366,10 @@
 			delete(c.targets, target)
 		}
 	}
-	for target := range c.turns {
-		if !keep(target) {
-			// Whoever waits has a turn of its own still.
-			delete(c.turns, target)
+	for target := range c.grantSlots {
+		if !listed(target) {
+			// Grants that still wait keep a reference to the deleted channel.
+			delete(c.grantSlots, target)
 		}
 	}
 }
--- a/transport/orders/orders_test.go
+++ b/transport/orders/orders_test.go
@@ -25,20 +25,20 @@
 	RunSpecs(t, "Orders")
 }
 
-// plain writes orders as their numbers.
-type plain struct{}
+// testEncoder encodes orders as their bare numbers.
+type testEncoder struct{}
 
-func (plain) Grant(from, to uint16, fence uint64, _ time.Duration, _ string) (string, []byte, error) {
+func (testEncoder) Grant(from, to uint16, fence uint64, _ time.Duration, _ string) (string, []byte, error) {
 	return "/grant", fmt.Append(nil, from, to, fence), nil
 }
 
-func (plain) Release(from, to uint16, fence uint64) (string, []byte, error) {
+func (testEncoder) Release(from, to uint16, fence uint64) (string, []byte, error) {
 	return "/release", fmt.Append(nil, from, to, fence), nil
 }
 
-func (plain) Handover(h http.Header) string { return h.Get("Handover") }
+func (testEncoder) Handover(h http.Header) string { return h.Get("Handover") }
 
-// countingTarget answers orders and counts the connections made to it.
+// countingTarget starts a target that answers orders, and counts the connections made to it.
 func countingTarget(answer http.HandlerFunc) (address string, connections *atomic.Int64) {
 	GinkgoHelper()
 	connections = &atomic.Int64{}
@@ -60,12 +60,11 @@
 		return assign.Order{Kind: assign.Renew, Target: "t1", Address: address, From: uint16(n), To: uint16(n), Fence: 1, Hold: time.Second, ConnectedSince: clock.Never}
 	}
 
-	// Symptom: targets reset connections beyond their number, renewals among them.
-	// Sequence: a target owns 20 ranges, each of which is renewed every second.
-	// Cause: each renewal had a connection of its own, of which two were kept.
-	It("share few connections", func() {
+	// Guards against a connection for each renewal. A target may own 20 ranges, each renewed every
+	// second; targets reset connections beyond their maximum, and renewals were among those.
+	It("share a few connections", func() {
 		address, connections := countingTarget(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-		c := NewClient(plain{}, names, clock.System{}, always)
+		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		for range 5 {
 			var round sync.WaitGroup
 			for n := range 20 {
@@ -77,61 +76,62 @@
 			}
 			round.Wait()
 		}
-		Expect(connections.Load()).To(BeNumerically("<=", grantsAtOnce))
+		Expect(connections.Load()).To(BeNumerically("<=", maxConcurrentGrants))
 	})
 
-	// Symptom: two targets hold the same keys. Sequence: a process is stopped between the
-	// decision and the sending; another one leads meanwhile. Cause: it was not asked again.
-	It("are not sent by an instance that does not lead any more", func() {
+	// Guards against two targets that own the same keys. A process may be suspended between
+	// deciding on an order and sending it, while another instance becomes the leader.
+	It("are not sent by an instance that is no longer the leader", func() {
 		requests := atomic.Int64{}
 		address, _ := countingTarget(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
-		c := NewClient(plain{}, names, clock.System{}, func() bool { return false })
+		c := NewClient(testEncoder{}, names, clock.System{}, func() bool { return false })
 		outcome, _, _ := c.Do(context.Background(), renewal(address, 1))
 		Expect(outcome).To(Equal(assign.NotSent))
 		Expect(requests.Load()).To(BeZero())
 	})
 
-	// Symptom: a target takes keys under a fence under which its former process had them.
-	// Sequence: it crashes and starts again at its address under its name; the next renewal
-	// goes over a new connection. Cause: the name of the target does not tell its lives apart.
-	It("renew nothing over a connection that is younger than what they renew", func() {
+	// Guards against a target that takes over keys under a fence that its former process had. A
+	// target crashes and restarts at the same address under the same name; without this check the
+	// next renewal would go over a new connection, and the name does not tell the two processes
+	// apart.
+	It("do not renew over a connection that is younger than the grant", func() {
 		var s *httptest.Server
 		requests := atomic.Int64{}
 		answer := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
 		s = httptest.NewServer(answer)
 		DeferCleanup(func() { s.Close() })
 		address := s.Listener.Addr().String()
-		c := NewClient(plain{}, names, clock.System{}, always)
+		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		do := func(since clock.Instant) assign.Outcome {
 			o := renewal(address, 1)
 			o.ConnectedSince = since
 			outcome, _, _ := c.Do(context.Background(), o)
 			return outcome
 		}
-		_, _, held := c.Do(context.Background(), renewal(address, 1))
-		Expect(do(held)).To(Equal(assign.Done))
+		_, _, lastGrant := c.Do(context.Background(), renewal(address, 1))
+		Expect(do(lastGrant)).To(Equal(assign.Done))
 		s.CloseClientConnections()
-		Expect(do(held)).To(Equal(assign.Unverified))
+		Expect(do(lastGrant)).To(Equal(assign.Unverified))
 		Expect(requests.Load()).To(Equal(int64(2)))
 		Expect(do(clock.Never)).To(Equal(assign.Done))
-		Expect(do(held)).To(Equal(assign.Unverified))
+		Expect(do(lastGrant)).To(Equal(assign.Unverified))
 		Expect(do(clock.System{}.Now())).To(Equal(assign.Done))
 	})
 
-	// Symptom: keys are unserved while the store is away. Sequence: all holds are extended at the
-	// same moment; a target has several ranges and one connection that is old enough. Cause: the
-	// first renewal took it, and the others were not sent.
-	It("wait for a connection that is old enough and in use", func() {
+	// Guards against keys that are unserved while the store is unavailable. When all holds are
+	// extended at the same time, a target may have several ranges and only one connection that is
+	// old enough: the first renewal takes it, and the others have to wait for it.
+	It("wait for a connection that is old enough but busy", func() {
 		address, connections := countingTarget(func(http.ResponseWriter, *http.Request) { time.Sleep(10 * time.Millisecond) })
-		c := NewClient(plain{}, names, clock.System{}, always)
+		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		c.Do(context.Background(), renewal(address, 0))
-		held := clock.System{}.Now()
+		lastGrant := clock.System{}.Now()
 		var round sync.WaitGroup
 		for n := range 12 {
 			round.Go(func() {
 				defer GinkgoRecover()
 				o := renewal(address, n)
-				o.ConnectedSince = held
+				o.ConnectedSince = lastGrant
 				outcome, _, _ := c.Do(context.Background(), o)
 				Expect(outcome).To(Equal(assign.Done))
 			})
@@ -140,22 +140,22 @@
 		Expect(connections.Load()).To(Equal(int64(1)))
 	})
 
-	It("name the target by what it goes by itself", func() {
+	It("carry the name that the target itself uses", func() {
 		name := ""
 		address, _ := countingTarget(func(_ http.ResponseWriter, r *http.Request) { name = r.Header.Get("Target") })
 		o := renewal(address, 1)
 		o.Target = view.TargetID("t@1", 4711)
-		NewClient(plain{}, names, clock.System{}, always).Do(context.Background(), o)
+		NewClient(testEncoder{}, names, clock.System{}, always).Do(context.Background(), o)
 		Expect(name).To(Equal("t@1"))
 	})
 
-	It("tell what the target said", func() {
+	It("return what the target answered", func() {
 		status := http.StatusOK
 		address, _ := countingTarget(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Handover", "h")
 			w.WriteHeader(status)
 		})
-		c := NewClient(plain{}, names, clock.System{}, always)
+		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		for code, want := range map[int]assign.Outcome{
 			http.StatusOK: assign.Done, http.StatusConflict: assign.HigherFence,
 			http.StatusMisdirectedRequest: assign.OtherTarget, http.StatusInternalServerError: assign.Unknown,
