--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -289,12 +289,17 @@
 	// Guards against losing requests on connections that the target has closed while they were
 	// idle. Such a connection looks usable until something is sent on it.
 	It("does not send on an idle connection that the target has closed", func() {
-		t := startTarget(func(conn net.Conn, r *http.Request, n int) { echo(conn, r, n); conn.Close() })
+		closed := make(chan struct{}, 1)
+		t := startTarget(func(conn net.Conn, r *http.Request, n int) {
+			echo(conn, r, n)
+			conn.Close()
+			closed <- struct{}{}
+		})
 		c := newClient()
 		for i := range 3 {
 			_, err := c.Do(within(time.Second), t.Target, post(fmt.Sprint(i), "b"))
 			Expect(err).NotTo(HaveOccurred())
-			time.Sleep(5 * time.Millisecond)
+			Eventually(closed, "1s").Should(Receive())
 		}
 	})
 
