--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// commitEach is the least time between changes of the map for each target, so that moves
-	// that end in quick succession are stored together.
-	commitEach = 100 * time.Microsecond
+	// commitIntervalPerTarget is the minimum time between changes of the map, for each target, so
+	// that moves that finish in quick succession are stored together.
+	commitIntervalPerTarget = 100 * time.Microsecond
 	// commitRetryAfter is the pause after a change could not be stored.
 	commitRetryAfter = 60 * time.Millisecond
 )
 
-// commit renews the lease when that is due, and stores changed maps along with it.
+// commit renews the lease when the renewal is due, and stores changed maps in the same transaction.
 func (t *term) commit(ctx context.Context, now clock.Instant) {
 	if t.committing || now < t.retryAt {
 		return
 	}
-	t.retryAt = now.Add(commitEach * time.Duration(len(t.c.board.Load().Targets)))
+	t.retryAt = now.Add(commitIntervalPerTarget * time.Duration(len(t.c.board.Load().Targets)))
 	proposed := map[string]*keyrange.Map{}
 	for service, m := range t.managers {
 		if p := m.Propose(now); p != nil {
 			proposed[service] = p
 		}
 	}
-	if len(proposed) == 0 && now < t.nextRenew {
+	if len(proposed) == 0 && now < t.renewAt {
 		return
 	}
-	txn, err := t.txn(proposed, t.stored.lease)
+	txn, err := t.newTxn(proposed, t.stored.lease)
 	if err != nil {
 		t.c.log("map-not-written", "error", err.Error())
 		for service := range proposed {
@@ -44,23 +44,23 @@
 		return
 	}
 	t.committing = true
-	quarantined := t.quarantineRow(&txn)
+	quarantined := t.addQuarantineRow(&txn)
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		version, err := t.c.store.Commit(callCtx, txn)
 		cancel()
-		var again *stored
+		var reread *stored
 		if err != nil && !errors.Is(err, store.ErrNotApplied) && !errors.Is(err, store.ErrThrottled) {
-			// What became of it shows in what the store holds now.
-			again, _ = t.c.readStored(ctx)
+			// The outcome is unknown; what the store holds now shows it.
+			reread, _ = t.c.readStored(ctx)
 		}
-		t.c.noteStore(ctx, err)
+		t.c.noteStoreResult(ctx, err)
 		select {
-		case t.done <- func() {
+		case t.actions <- func() {
 			if err == nil && quarantined != nil {
 				t.c.quarantine.MarkStored(quarantined)
 			}
-			t.committed(now, proposed, version, err, again)
+			t.recordCommit(now, proposed, version, err, reread)
 		}:
 		case <-t.stop:
 		case <-ctx.Done():
@@ -68,10 +68,10 @@
 	}()
 }
 
-// quarantineRow adds the requests that are quarantined to a change, if the store does not have them yet,
-// and returns what it adds. All instances may be lost at once: the next ones would learn of a request
-// that crashes targets only by the targets that it crashes then.
-func (t *term) quarantineRow(txn *store.Txn) []byte {
+// addQuarantineRow adds the quarantined requests to a transaction if the store does not have them
+// yet, and returns the row's new content. Without the row, the loss of all instances would lose the
+// list: the next instances would learn of a request that crashes targets only from further crashes.
+func (t *term) addQuarantineRow(txn *store.Txn) []byte {
 	text, err := t.c.quarantine.PendingWrite()
 	if err != nil {
 		t.c.log("quarantine-not-written", "error", err.Error())
@@ -83,7 +83,7 @@
 	return text
 }
 
-func (t *term) txn(proposed map[string]*keyrange.Map, row lease.Row) (store.Txn, error) {
+func (t *term) newTxn(proposed map[string]*keyrange.Map, row lease.Row) (store.Txn, error) {
 	id := store.ID{Table: table, Part: part, Key: leaseKey}
 	text, err := row.Encode()
 	if err != nil {
@@ -93,9 +93,9 @@
 		Expect: []store.Expect{{ID: id, Version: t.stored.leaseVersion}},
 		Writes: []store.Write{{ID: id, Value: text}},
 	}
-	guardEra(&txn, t.stored.era)
+	expectNoNextEra(&txn, t.stored.era)
 	for service, m := range proposed {
-		id := store.ID{Table: table, Part: part, Key: mapKey + service}
+		id := store.ID{Table: table, Part: part, Key: mapKeyPrefix + service}
 		text, err := m.Encode()
 		if err != nil {
 			return store.Txn{}, err
@@ -106,15 +106,16 @@
 	return txn, nil
 }
 
-// committed takes the outcome of a commit that was begun at the given time.
-func (t *term) committed(begun clock.Instant, proposed map[string]*keyrange.Map, version uint64, err error, again *stored) {
+// recordCommit handles the outcome of a commit that was begun at the given time. reread is what the
+// store held afterwards; nil if the outcome is known or the store could not be read.
+func (t *term) recordCommit(begun clock.Instant, proposed map[string]*keyrange.Map, version uint64, err error, reread *stored) {
 	t.committing = false
-	if err == nil && store.EraOf(version) != t.stored.era || again != nil && again.era != t.stored.era {
-		t.noteReturned(t.c.clock.Now())
+	if err == nil && store.EraOf(version) != t.stored.era || reread != nil && reread.era != t.stored.era {
+		t.endAfterRestore(t.c.clock.Now())
 		return
 	}
 	if err == nil {
-		t.nextRenew = begun.Add(lease.RenewEvery)
+		t.renewAt = begun.Add(lease.RenewEvery)
 		t.stored.leaseVersion = version
 		t.mu.Lock()
 		t.holder.Renewed(begun)
@@ -124,13 +125,13 @@
 		t.c.mu.Unlock()
 		for service, m := range proposed {
 			t.stored.mapVersions[service] = version
-			t.publish(service, m)
+			t.publishMap(service, m)
 		}
 		return
 	}
 	t.retryAt = t.c.clock.Now().Add(commitRetryAfter)
-	if again != nil {
-		t.reconcile(again, begun)
+	if reread != nil {
+		t.reconcile(reread, begun)
 		return
 	}
 	for service := range proposed {
@@ -139,7 +140,7 @@
 	t.c.log("commit-failed", "error", err.Error(), "maps", len(proposed))
 }
 
-// reconcile goes on from what the store holds after a commit of unknown outcome.
+// reconcile continues from what the store holds after a commit of unknown outcome.
 func (t *term) reconcile(s *stored, begun clock.Instant) {
 	if s.lease.Holder != t.c.config.Self.ID || s.lease.Term != t.stored.lease.Term || s.lease.Vacant {
 		t.c.log("lease-lost", "term", t.stored.lease.Term, "holder", s.lease.Holder)
@@ -147,7 +148,7 @@
 		return
 	}
 	if s.leaseVersion != t.stored.leaseVersion {
-		// Ours took effect: the lease counts from before it was sent.
+		// The commit took effect: the lease counts from before it was sent.
 		t.mu.Lock()
 		t.holder.Renewed(begun)
 		t.mu.Unlock()
@@ -156,28 +157,28 @@
 	t.stored.mapVersions = s.mapVersions
 	for service, m := range t.managers {
 		if found := s.maps[service]; found != nil && found.Version != m.Map().Version {
-			t.publish(service, found)
+			t.publishMap(service, found)
 		} else {
 			m.NotStored()
 		}
 	}
 }
 
-// publish puts a stored map into force.
-func (t *term) publish(service string, m *keyrange.Map) {
+// publishMap puts a stored map into force.
+func (t *term) publishMap(service string, m *keyrange.Map) {
 	changed := m.Diff(t.managers[service].Map())
 	t.managers[service].Stored(m)
 	t.c.board.SetMap(service, m)
-	t.c.log("map-stored", "service", service, "map", m.Version, "ranges", len(m.Ranges), "changed", len(changed), "first", describe(changed))
+	t.c.log("map-stored", "service", service, "map", m.Version, "ranges", len(m.Ranges), "changed", len(changed), "first", describeRanges(changed))
 }
 
-// describedRanges bounds the changed ranges that a line tells.
-const describedRanges = 8
+// maxLoggedRanges bounds the changed ranges that a log line lists.
+const maxLoggedRanges = 8
 
-// describe tells who has the first of some ranges, and who gets them.
-func describe(changed []keyrange.Range) []string {
-	list := make([]string, 0, describedRanges)
-	for _, r := range changed[:min(describedRanges, len(changed))] {
+// describeRanges lists the owners, and the next owners, of the first of the given ranges.
+func describeRanges(changed []keyrange.Range) []string {
+	list := make([]string, 0, maxLoggedRanges)
+	for _, r := range changed[:min(maxLoggedRanges, len(changed))] {
 		text := fmt.Sprintf("%d-%d %s fence %d", r.From, r.To, r.Owner, r.Fence)
 		if r.Moving() {
 			text += fmt.Sprintf(" to %s fence %d", r.Next, r.NextFence)
@@ -187,48 +188,48 @@
 	return list
 }
 
-// exitWait bounds the wait for the loop when the lease is given up.
-const exitWait = 500 * time.Millisecond
+// maxExitWait bounds the wait for the term's loop to exit when the lease is given up.
+const maxExitWait = 500 * time.Millisecond
 
 const (
-	// askBeforeLeaving bounds the call that shows whether the store answers. A slow one takes up
+	// leaveCheckTimeout bounds the call that shows whether the store answers. A slow store takes up
 	// to 0.4 s.
-	askBeforeLeaving = 600 * time.Millisecond
-	// extendTime is how long a leading instance that leaves goes on for the renewals of all
-	// grants to be sent.
-	extendTime = 300 * time.Millisecond
+	leaveCheckTimeout = 600 * time.Millisecond
+	// extendHoldsTime is how long a leaving leader goes on so that the renewals of all grants are
+	// sent.
+	extendHoldsTime = 300 * time.Millisecond
 )
 
-// extendBeforeLeaving gives all targets the longest hold if the store does not answer: nobody can
-// take the lease then, and the keys of all targets would be unserved when their holds have run
-// out.
-func (t *term) extendBeforeLeaving(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, askBeforeLeaving)
+// extendHoldsBeforeLeaving gives all targets the longest hold if the store does not answer. No
+// instance can take the lease then, and without longer holds the keys of all targets would be
+// unserved once the current holds have expired.
+func (t *term) extendHoldsBeforeLeaving(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, leaveCheckTimeout)
 	defer cancel()
 	if _, err := t.c.readStored(callCtx); err == nil {
 		return
 	}
 	select {
-	case t.done <- func() { t.extend = true }:
+	case t.actions <- func() { t.extendHolds = true }:
 	case <-t.exited:
 		return
 	case <-ctx.Done():
 		return
 	}
-	sleep(ctx, extendTime)
+	sleep(ctx, extendHoldsTime)
 }
 
-// resign gives the lease up, so that another can take it at once.
+// resign gives the lease up, so that another instance can take it at once.
 func (t *term) resign(ctx context.Context) {
-	t.extendBeforeLeaving(ctx)
+	t.extendHoldsBeforeLeaving(ctx)
 	t.stopOnce.Do(func() { close(t.stop) })
 	select {
 	case <-t.exited:
-	case <-time.After(exitWait):
+	case <-time.After(maxExitWait):
 		return
 	}
 	var err error
-	for range giveUpTries {
+	for range maxResignTries {
 		if err = t.markVacant(ctx); !errors.Is(err, store.ErrConflict) {
 			break
 		}
@@ -238,11 +239,13 @@
 	}
 }
 
-// giveUpTries bounds the writes that give the lease up. A change that was on its way comes before
-// one of them at most; with a single try the lease then stayed taken for 2.3 s, with nobody leading.
-const giveUpTries = 3
+// maxResignTries bounds the writes that give the lease up. At most one of them conflicts with a
+// change that was already on its way. After a single failed try the lease stays taken for 2.3 s,
+// until it has expired, and nobody leads.
+const maxResignTries = 3
 
-// markVacant notes in the store that the holder, if it is this instance, does nothing more.
+// markVacant notes in the store that the lease's holder, if it is this instance, does not act any
+// more.
 func (t *term) markVacant(ctx context.Context) error {
 	s, err := t.c.readStored(ctx)
 	if err != nil {
@@ -254,7 +257,7 @@
 	t.stored.leaseVersion = s.leaseVersion
 	row := s.lease
 	row.Vacant = true
-	txn, err := t.txn(nil, row)
+	txn, err := t.newTxn(nil, row)
 	if err != nil {
 		return err
 	}
--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -18,8 +18,8 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Log writes one line about a decision or a change of belief: its name, then names and
-// values in turn. It does not block.
+// Log writes one line about a decision or a state change: an event name, then alternating field
+// names and values. It does not block.
 type Log func(event string, fields ...any)
 
 // Peers calls other instances.
@@ -27,13 +27,13 @@
 	Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error)
 }
 
-// Orders carries orders to targets.
+// Orders sends orders to targets.
 type Orders interface {
 	Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant)
 	RetainTargets(keep func(target string) bool)
 }
 
-// Config of a Coordinator.
+// Config holds the settings and collaborators of a Coordinator.
 type Config struct {
 	Self   view.Instance
 	Source Source
@@ -42,39 +42,41 @@
 	// HoldMax is the longest hold of a grant that targets accept.
 	HoldMax time.Duration
 	Policy  keyrange.Policy
-	// Quarantine is what this instance knows of requests under which targets have ended; nil: nothing
-	// that others of its process have to do with.
+	// Quarantine holds the requests that have crashed targets. If nil, the coordinator creates a
+	// registry of its own.
 	Quarantine *quarantine.Registry
-	// TargetStatus is what targets have said of themselves to this instance; nil: nothing is heard here.
+	// TargetStatus holds what targets have reported about themselves in answers to this instance.
+	// If nil, the coordinator creates a registry of its own.
 	TargetStatus *targetstatus.Registry
 }
 
-// Rows of ours in the store. The lease and the maps share a part, so that each change of a
+// Rows of this package in the store. The lease and the maps share a part, so that each change of a
 // map can be conditional on the lease.
 const (
 	table    = "lycheehall"
 	part     = "coordination"
 	leaseKey = "lease"
-	// quarantineKey is the row of the requests that are to reach no target.
+	// quarantineKey is the row that lists quarantined requests.
 	quarantineKey = "quarantine"
-	mapKey        = "map/"
+	mapKeyPrefix  = "map/"
 )
 
-// Coordinator is one instance's part in acting together.
+// Coordinator takes part in the coordination on behalf of one instance, as leader or follower.
 type Coordinator struct {
-	config    Config
-	clock     clock.Clock
-	store     store.Store
-	board     *view.Board
-	peers     Peers
-	orders    Orders
-	collector *demand.Collector
-	total     *demand.Aggregator
-	log       Log
-	reader    *reader
-	// standing is what targets have said that they leave; the leading instance empties them.
-	standing *targetstatus.Registry
-	// quarantine is told and collected along with the reports.
+	config     Config
+	clock      clock.Clock
+	store      store.Store
+	board      *view.Board
+	peers      Peers
+	orders     Orders
+	collector  *demand.Collector
+	aggregator *demand.Aggregator
+	log        Log
+	reader     *reader
+	// targetStatus holds the targets that have announced in an answer that they are leaving; the leader
+	// moves their keys away.
+	targetStatus *targetstatus.Registry
+	// quarantine is synchronized between instances along with the reports.
 	quarantine *quarantine.Registry
 
 	wake chan struct{}
@@ -83,61 +85,63 @@
 	observer lease.Observer
 	// leader is the last known holder of the lease.
 	leader lease.Row
-	// term is this instance's leadership, nil while it follows.
-	term    *term
-	leaving bool
-	storeOK bool
-	// lostAt is when the store was last lost.
-	lostAt clock.Instant
-	outage outage
-	// failedAt is when a call to the store failed last.
-	failedAt clock.Instant
-	lastSync clock.Instant
-	// rulesRefused says that rules which another instance told could not be taken over.
+	// term is this instance's leadership; nil while it follows.
+	term           *term
+	leaving        bool
+	storeAvailable bool
+	// storeLostAt is when the store last became unavailable.
+	storeLostAt clock.Instant
+	outage      outage
+	// storeFailedAt is when a call to the store last failed.
+	storeFailedAt clock.Instant
+	lastSync      clock.Instant
+	// rulesRefused says that the rules of the last reply could not be applied.
 	rulesRefused bool
-	// lost is the holder that was found not to lead any more.
-	lost string
-	// former is what this instance knew when the store came back from a copy while it led.
-	former former
-	// heardLeader says that this instance has led, or an instance that leads has answered it.
-	heardLeader bool
-	// leaderKnown is closed when the next leader is found.
-	leaderKnown chan struct{}
-	// heard is closed when this instance has heard of the lease, from the store or its holder.
-	heard chan struct{}
-	// lookedAt is when the lease's row was last read here.
-	lookedAt clock.Instant
-	started  clock.Instant
-	// neverLed says that the last look found that no instance has ever held the lease.
-	neverLed bool
-	// mayRead is closed when this instance may read the store.
-	mayRead chan struct{}
-	// handedOver is when this instance last gave the lease up for a larger one.
-	handedOver clock.Instant
-	// vacated is the newest term that was given up by word.
-	vacated vacated
-	// answeredAt is when the store answered a call made for the leading instance.
-	answeredAt clock.Instant
-	// ranked is who had which duty when that was last looked for.
-	ranked duties
-	// silent says when relays last failed to answer.
-	silent map[string]clock.Instant
-	// relaysAnsweredAt is when a relay last answered this instance, whose knowledge had become old.
-	relaysAnsweredAt clock.Instant
-	// refreshAt is when it last asked relays for that reason, relaysFailed that this did not help.
-	refreshAt    clock.Instant
-	relaysFailed bool
-	// leaderAnsweredAt is when the leading instance itself last answered a report of this one.
-	leaderAnsweredAt clock.Instant
-	// below are the instances that report through this one, by ID.
-	below map[string]*downstream
-	// asking is the number of reports that are held here.
-	asking atomic.Int64
-	// told is what this instance has told others, or been told.
-	told told
+	// lostLeader is the ID of the last leader that was found not to lead any more.
+	lostLeader string
+	// priorTerm is what this instance knew when the store was restored from a copy while it led.
+	priorTerm priorTerm
+	// heardFromLeader says that this instance has led, or that a leader has replied to it.
+	heardFromLeader bool
+	// leaderFound is closed when the next leader is found.
+	leaderFound chan struct{}
+	// becameCurrent is closed when this instance has learnt the state of the lease, from the store
+	// or from the leader.
+	becameCurrent chan struct{}
+	// leaseReadAt is when this instance last read the lease row.
+	leaseReadAt clock.Instant
+	startedAt   clock.Instant
+	// leaseNeverHeld says that at the last read no instance had ever held the lease.
+	leaseNeverHeld bool
+	// mayReadStore is closed when this instance may read the store.
+	mayReadStore chan struct{}
+	// handedOverAt is when this instance last handed the lease over to a larger instance.
+	handedOverAt clock.Instant
+	// vacatedTerm is the newest term whose leader has announced that it stopped leading.
+	vacatedTerm vacatedTerm
+	// storeAnsweredAt is when the store last answered a probe made for the leader.
+	storeAnsweredAt clock.Instant
+	// cachedDuties caches the ranking of instances for duties.
+	cachedDuties duties
+	// unresponsive holds the time of the last failed call to each relay, by address.
+	unresponsive map[string]clock.Instant
+	// relaysRepliedAt is when a relay last replied to this instance while its snapshot was stale.
+	relaysRepliedAt clock.Instant
+	// refreshedAt is when this instance last asked relays because its snapshot was stale;
+	// refreshFailed says that the snapshot stayed stale.
+	refreshedAt   clock.Instant
+	refreshFailed bool
+	// leaderRepliedAt is when the leader itself last replied to a report of this instance.
+	leaderRepliedAt clock.Instant
+	// downstreams are the instances that report through this one, by ID.
+	downstreams map[string]*downstream
+	// heldReports is the number of reports whose replies this instance is holding.
+	heldReports atomic.Int64
+	// history holds recent versions of the snapshot, from which replies with changes are made.
+	history history
 }
 
-// New returns a coordinator. Nothing happens before Run.
+// New returns a coordinator. It does nothing until Run is called.
 func New(config Config, c clock.Clock, s store.Store, board *view.Board, peers Peers, orders Orders, collector *demand.Collector, log Log) *Coordinator {
 	if config.Quarantine == nil {
 		config.Quarantine = quarantine.NewRegistry(time.Now)
@@ -147,15 +151,15 @@
 	}
 	return &Coordinator{
 		config: config, clock: c, store: s, board: board, peers: peers, orders: orders,
-		collector: collector, total: demand.NewAggregator(), log: log,
-		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, standing: config.TargetStatus,
-		wake: make(chan struct{}, 1), lastSync: clock.Never, storeOK: true,
-		leaderKnown: make(chan struct{}), heard: make(chan struct{}), lookedAt: clock.Never, answeredAt: clock.Never, started: c.Now(),
-		silent: map[string]clock.Instant{}, below: map[string]*downstream{}, leaderAnsweredAt: clock.Never, relaysAnsweredAt: clock.Never, refreshAt: clock.Never, outage: newOutage(), handedOver: clock.Never, mayRead: make(chan struct{}),
+		collector: collector, aggregator: demand.NewAggregator(), log: log,
+		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, targetStatus: config.TargetStatus,
+		wake: make(chan struct{}, 1), lastSync: clock.Never, storeAvailable: true,
+		leaderFound: make(chan struct{}), becameCurrent: make(chan struct{}), leaseReadAt: clock.Never, storeAnsweredAt: clock.Never, startedAt: c.Now(),
+		unresponsive: map[string]clock.Instant{}, downstreams: map[string]*downstream{}, leaderRepliedAt: clock.Never, relaysRepliedAt: clock.Never, refreshedAt: clock.Never, outage: newOutage(), handedOverAt: clock.Never, mayReadStore: make(chan struct{}),
 	}
 }
 
-// Leading reports whether this instance may act as the leading one at this moment.
+// Leading reports whether this instance may act as leader at this moment.
 func (c *Coordinator) Leading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,14 +173,14 @@
 	return c.leader
 }
 
-// Run coordinates until ctx ends.
+// Run coordinates until ctx is done.
 func (c *Coordinator) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { c.follow(ctx) })
-	for _, read := range []func(context.Context){c.readRules, c.readTargets} {
+	for _, read := range []func(context.Context){c.pollRules, c.pollTargets} {
 		running.Go(func() {
 			select {
-			case <-c.mayRead:
+			case <-c.mayReadStore:
 				read(ctx)
 			case <-ctx.Done():
 			}
@@ -185,7 +189,7 @@
 	running.Wait()
 }
 
-// Leave ends this instance's leadership and tells the others that it takes no duties.
+// Leave ends this instance's leadership and announces to the others that it takes no duties.
 func (c *Coordinator) Leave(ctx context.Context) {
 	c.mu.Lock()
 	c.leaving = true
--- a/coordination/lead/doc.go
+++ b/coordination/lead/doc.go
@@ -1,13 +1,13 @@
-// Package lead makes the instances of a deployment act together. One of them leads: the
-// holder of the lease in the store. It reads the registry and the configuration for all,
-// keeps the keys assigned, and tells the others what is new when they report to it.
+// Package lead coordinates the instances of a deployment. One of them is the leader: the holder of
+// the lease in the store. It reads the registry and the configuration for all instances, keeps keys
+// assigned to targets, and replies to the reports of the other instances with what has changed.
 //
-// The others follow: each keeps one call open at the leading instance. When that call
-// fails, or what they know has grown old, they read the store themselves, and take the
-// lease when it is surely free.
+// The other instances are followers: each keeps one call open at the leader. When that call fails,
+// or when its own snapshot is stale, a follower reads the store itself, and takes the lease once it
+// is certain that the lease is free.
 //
-// Nothing depends on the leading instance but changes: requests go on with what is known,
-// and grants hold on while another takes over.
+// Only changes depend on the leader. While another instance takes over, requests are routed by the
+// last known snapshot and grants stay valid.
 //
-// Lock order: Coordinator.mu before the locks of Board and Total.
+// Lock order: Coordinator.mu before the locks of Board and Aggregator.
 package lead
--- a/coordination/lead/evacuation_test.go
+++ b/coordination/lead/evacuation_test.go
@@ -13,10 +13,12 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// evacuates reads rows named evacuate/DATA-CENTRE.
-func evacuates(row store.Row) (string, bool) { return strings.CutPrefix(row.Key, "evacuate/") }
+// evacuatedDataCentre decodes rows named evacuate/DATA-CENTRE.
+func evacuatedDataCentre(row store.Row) (string, bool) {
+	return strings.CutPrefix(row.Key, "evacuate/")
+}
 
-var _ = Describe("which data centres are evacuated", func() {
+var _ = Describe("the evacuated data centres", func() {
 	var (
 		s *tableStore
 		r *reader
@@ -34,14 +36,14 @@
 	}
 
 	BeforeEach(func() {
-		c := &stepClock{now: clock.Instant(time.Hour)}
+		c := &manualClock{now: clock.Instant(time.Hour)}
 		s = &tableStore{rows: map[string]string{}}
-		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuates}
-		r = newReader(c, s, source, view.NewBoard(c), quiet)
+		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuatedDataCentre}
+		r = newReader(c, s, source, view.NewBoard(c), discardLog)
 		s.put("other", "")
 	})
 
-	It("is read as it changes", func() {
+	It("are updated when they change", func() {
 		Expect(read()).To(BeEmpty())
 		s.put("evacuate/dc1", "{}")
 		Expect(read()).To(Equal([]string{"dc1"}))
@@ -50,47 +52,47 @@
 		Expect(read()).To(Equal([]string{"dc2"}))
 	})
 
-	It("is read anew where the history is gone (guards against one that was taken back meanwhile)", func() {
+	It("are read again as a whole when the history is gone (guards against missing an evacuation that ended meanwhile)", func() {
 		s.put("evacuate/dc1", "{}")
 		read()
 		remove("evacuate/dc1")
 		s.put("evacuate/dc2", "{}")
-		s.gone = true
+		s.historyGone = true
 		Expect(read()).To(Equal([]string{"dc2"}))
 	})
 
-	It("is told with the rules, at the start too (guards against an instance that starts while the store is away)", func() {
+	It("are sent with the rules, and in the full state (guards against an instance that starts while the store is unavailable)", func() {
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
-		tell(leader, follower)
+		syncOnce(leader, follower)
 		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeTrue())
 		leader.board.SetEvacuations(4, nil)
-		tell(leader, follower)
+		syncOnce(leader, follower)
 		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeFalse())
 		leader.board.SetEvacuations(5, []string{"dc2"})
 		starting := newCoordinator()
-		args := starting.question()
+		args := starting.newSyncArgs()
 		args.Starting = true
-		starting.adopt(starting.clock.Now(), args, leader.news(args))
+		starting.applyReply(starting.clock.Now(), args, leader.updateFor(args))
 		Expect(starting.board.Load().Evacuations.Contains("dc2")).To(BeTrue())
 	})
 
-	It("is news to one that has not heard of it (guards against a report that is held while targets are sent to)", func() {
+	It("count as an update for an instance that does not know them (guards against holding its report while requests still go to evacuated targets)", func() {
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
-		Expect(newer(follower.question(), leader.board.Load())).To(BeTrue())
+		Expect(hasUpdateFor(follower.newSyncArgs(), leader.board.Load())).To(BeTrue())
 	})
 })
 
 var _ = Describe("a target that the registry lists as cold", func() {
-	It("has one cold time until it tells of another (guards against telling all instances each heartbeat)", func() {
+	It("keeps its cold time until an entry names another one (guards against an update to all instances at each heartbeat)", func() {
 		now := clock.Instant(time.Hour)
-		first := chill(view.Target{}, view.Target{ID: "x", Cold: 3 * time.Second}, 5, now)
-		later := chill(first, view.Target{ID: "x", Cold: 2200 * time.Millisecond}, 6, now.Add(900*time.Millisecond))
+		first := withColdUntil(view.Target{}, view.Target{ID: "x", Cold: 3 * time.Second}, 5, now)
+		later := withColdUntil(first, view.Target{ID: "x", Cold: 2200 * time.Millisecond}, 6, now.Add(900*time.Millisecond))
 		Expect(later.EqualForRouting(first)).To(BeTrue())
 		Expect(later.ColdUntil).To(Equal(first.ColdUntil))
-		again := chill(later, view.Target{ID: "x", Cold: 3 * time.Second}, 7, now.Add(2*time.Second))
+		again := withColdUntil(later, view.Target{ID: "x", Cold: 3 * time.Second}, 7, now.Add(2*time.Second))
 		Expect(again.ColdSpell).To(Equal(uint64(7)))
-		Expect(chill(again, view.Target{ID: "x"}, 8, now.Add(6*time.Second)).ColdSpell).To(BeZero())
+		Expect(withColdUntil(again, view.Target{ID: "x"}, 8, now.Add(6*time.Second)).ColdSpell).To(BeZero())
 	})
 })
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -15,7 +15,7 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// follow reports to the leading instance, and takes the lease when it is free.
+// follow reports to the leader, and takes the lease when it is free.
 func (c *Coordinator) follow(ctx context.Context) {
 	pause := newBackoff()
 	for ctx.Err() == nil {
@@ -24,77 +24,78 @@
 		leaving := c.leaving
 		c.mu.Unlock()
 		if address != "" && address != c.config.Self.Address {
-			if relay := c.treeRelay(); relay != "" && c.reportThrough(ctx, relay, leaving) {
+			if relay := c.treeRelay(); relay != "" && c.reportViaRelay(ctx, relay, leaving) {
 				continue
 			}
-			if c.report(ctx, address, leaving) {
+			if c.reportTo(ctx, address, leaving) {
 				continue
 			}
 		}
-		if !c.leadsOn() && c.askRelay(ctx, false) {
+		if !c.mayResumeLeading() && c.askRelays(ctx, false) {
 			continue
 		}
-		t, err := c.lookAtLease(ctx, !leaving && !c.standsBack())
-		c.settleStart(ctx)
-		if t == nil && c.leadsOn() {
-			sleep(ctx, returnPause)
+		t, err := c.checkLease(ctx, !leaving && !c.pausesBids())
+		c.allowStoreReads(ctx)
+		if t == nil && c.mayResumeLeading() {
+			sleep(ctx, resumePause)
 			continue
 		}
 		if t == nil {
 			if err != nil {
-				c.askAnybody(ctx)
+				c.askSeeds(ctx)
 			}
-			if c.follows() {
+			if c.isFollowing() {
 				continue
 			}
-			look := c.shared(leaseLookEvery)
-			c.awaitNextLook(ctx, c.spared(pause.after(err, look/2+rand.N(look/2)), err), err)
+			look := c.scaleToFleet(leaseReadInterval)
+			c.awaitNextLeaseRead(ctx, c.pauseAfterFailure(pause.after(err, look/2+rand.N(look/2)), err), err)
 			continue
 		}
 		t.run(ctx)
 		c.mu.Lock()
 		c.term = nil
 		c.leader = lease.Row{}
-		c.lost = c.config.Self.ID
+		c.lostLeader = c.config.Self.ID
 		c.mu.Unlock()
 	}
 }
 
-// awaitNextLook waits until it is time to look at the lease again, or a relay has told what is
-// current. err is that of the last look.
+// awaitNextLeaseRead waits until it is time to read the lease again, or until a relay has replied
+// with current information. err is the error of the last read.
 //
-// While the store answers nobody the pause grows, since the calls of all instances are paid for. One that
-// slept through it would hear seconds after the store is back of what a relay knows at once.
-func (c *Coordinator) awaitNextLook(ctx context.Context, pause time.Duration, err error) {
+// While the store does not answer anyone, the pause grows, since the calls of all instances are
+// paid for. An instance that only waited out its pause would notice the store's return seconds
+// later than a relay that already knows of it.
+func (c *Coordinator) awaitNextLeaseRead(ctx context.Context, pause time.Duration, err error) {
 	until := c.clock.Now().Add(pause)
 	for ctx.Err() == nil {
 		left := until.Sub(c.clock.Now())
 		if left <= 0 {
 			return
 		}
-		if err == nil || left < shortestAsk {
+		if err == nil || left < minAskTime {
 			sleep(ctx, left)
 			return
 		}
 		begun := c.clock.Now()
-		if c.askRelay(ctx, true) {
+		if c.askRelays(ctx, true) {
 			return
 		}
-		if c.clock.Now().Sub(begun) < shortestAsk {
-			// No relay holds questions: none is known, or none answers.
-			sleep(ctx, min(left, pollEvery))
+		if c.clock.Now().Sub(begun) < minAskTime {
+			// No relay holds the question: none is known, or none replies.
+			sleep(ctx, min(left, pollInterval))
 		}
 	}
 }
 
-// report makes one report, and reports whether the other instance leads.
-func (c *Coordinator) report(ctx context.Context, address string, leaving bool) bool {
-	args := c.question()
+// reportTo sends one report to the instance at an address, and reports whether that instance leads.
+func (c *Coordinator) reportTo(ctx context.Context, address string, leaving bool) bool {
+	args := c.newSyncArgs()
 	args.Leaving = leaving
 	args.Work, args.Pace = c.collector.Drain()
-	args.Members = c.reportedHere()
-	if c.isRelay() || c.relaysReports() {
-		args.Wait = relayWait
+	args.Members = c.downstreamMembers()
+	if c.isStoreRelay() || c.hasDownstreams() {
+		args.Wait = relaySyncHold
 	}
 	begun := c.clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
@@ -107,33 +108,33 @@
 		c.noteLeaderLost(address, err)
 		return false
 	}
-	c.followed()
+	c.noteFollowing()
 	c.mu.Lock()
-	c.leaderAnsweredAt = c.clock.Now()
+	c.leaderRepliedAt = c.clock.Now()
 	c.mu.Unlock()
-	if !c.adopt(begun, args, reply) {
-		// The leading instance has not read yet what is known here; it will, within pollEvery.
-		sleep(ctx, pollEvery/4)
+	if !c.applyReply(begun, args, reply) {
+		// The leader has not yet read what is known here; it will within pollInterval.
+		sleep(ctx, pollInterval/4)
 	}
 	if reply.StoreSilent {
-		c.tryStore(ctx)
+		c.probeStore(ctx)
 	}
 	return true
 }
 
-// relaysReports reports whether others report through this instance.
-func (c *Coordinator) relaysReports() bool {
+// hasDownstreams reports whether other instances report through this one.
+func (c *Coordinator) hasDownstreams() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.below) > 0
+	return len(c.downstreams) > 0
 }
 
-// question asks for what is newer than what is known here.
-func (c *Coordinator) question() *peerapi.SyncArgs {
+// newSyncArgs returns a report that asks for everything newer than this instance's snapshot.
+func (c *Coordinator) newSyncArgs() *peerapi.SyncArgs {
 	snapshot := c.board.Load()
 	c.mu.Lock()
 	refused := c.rulesRefused
-	answers := c.answeredAt != clock.Never && c.clock.Now().Sub(c.answeredAt) < suspectAfter
+	answers := c.storeAnsweredAt != clock.Never && c.clock.Now().Sub(c.storeAnsweredAt) < renewalOverdueAfter
 	c.mu.Unlock()
 	args := &peerapi.SyncArgs{
 		StoreAnswers: answers,
@@ -151,45 +152,45 @@
 	return args
 }
 
-// leavingTargets returns the targets that have said that they leave.
+// leavingTargets returns the targets that have announced that they are leaving.
 func (c *Coordinator) leavingTargets(s *view.Snapshot) []string {
-	return c.standing.Leaving(func(id string) bool { _, listed := s.Targets[id]; return listed })
+	return c.targetStatus.Leaving(func(id string) bool { _, listed := s.Targets[id]; return listed })
 }
 
-// follows reports whether an instance that leads has just answered this one.
-func (c *Coordinator) follows() bool {
+// isFollowing reports whether a leader has replied to this instance and has not been lost since.
+func (c *Coordinator) isFollowing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastSync != clock.Never && c.leader.Address != ""
 }
 
-// followed notes that the leading instance answered.
-func (c *Coordinator) followed() {
+// noteFollowing notes that the leader replied.
+func (c *Coordinator) noteFollowing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lastSync == clock.Never {
 		c.log("leader-followed", "leader", c.leader.Holder, "term", c.leader.Term)
 	}
 	c.lastSync = c.clock.Now()
-	c.heardLeader = true
-	c.nowCurrent()
-	c.lost = ""
+	c.heardFromLeader = true
+	c.notifyCurrent()
+	c.lostLeader = ""
 }
 
-// setLeader notes who holds the lease; the zero row: nobody that is known. The caller holds
-// the lock.
+// setLeader notes the holder of the lease; the zero row if none is known. The caller holds the
+// lock.
 func (c *Coordinator) setLeader(row lease.Row) {
 	c.leader = row
-	if tells(row, c.lost) {
-		close(c.leaderKnown)
-		c.leaderKnown = make(chan struct{})
+	if isNewLeader(row, c.lostLeader) {
+		close(c.leaderFound)
+		c.leaderFound = make(chan struct{})
 	}
 }
 
 func (c *Coordinator) noteLeaderLost(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost = c.leader.Holder
+	c.lostLeader = c.leader.Holder
 	c.leader = lease.Row{}
 	if c.lastSync == clock.Never {
 		return
@@ -202,46 +203,46 @@
 	c.log("leader-lost", "address", address, "reason", reason, "lease", c.observer.Version())
 }
 
-// adopt takes over what another instance told. It reports whether that was as new as what is
-// known here.
-func (c *Coordinator) adopt(begun clock.Instant, args *peerapi.SyncArgs, reply *peerapi.SyncReply) bool {
+// applyReply applies a reply of another instance. It reports whether the reply was at least as new
+// as this instance's snapshot.
+func (c *Coordinator) applyReply(begun clock.Instant, args *peerapi.SyncArgs, reply *peerapi.SyncReply) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
 	c.observer.Observe(reply.Lease, false, now)
 	c.mu.Unlock()
-	// What was confirmed had been read Age before the answer left. The way back may have
-	// taken all of the time that was not spent waiting.
+	// The confirmed state was read reply.Age before the reply was sent. The way back may have taken
+	// all of the time that was not spent holding the report.
 	travel := max(0, now.Sub(begun)-reply.Held)
 	at := now.Add(-reply.Age - travel)
 	if c.board.SetEvacuations(reply.EvacuationsVersion, reply.Evacuated) {
 		c.log("evacuations-changed", "evacuated", reply.Evacuated, "read", reply.EvacuationsVersion, "age_ms", reply.Age.Milliseconds())
 	}
-	err := c.adoptRules(reply, at)
+	err := c.applyRules(reply, at)
 	if err != nil {
 		c.log("rules-refused", "error", err.Error(), "from", fromLeader)
 	}
-	taken := c.adoptTargets(reply, at) && err == nil
-	for service, news := range reply.Maps {
-		c.adoptMap(service, news)
+	taken := c.applyTargets(reply, at) && err == nil
+	for service, update := range reply.Maps {
+		c.applyMapUpdate(service, update)
 	}
-	c.adoptInstances(args, reply)
+	c.applyInstances(args, reply)
 	c.quarantine.MarkReported(args.Quarantine)
 	c.quarantine.Adopt(reply.Quarantine, reply.QuarantineVersion)
-	c.told.remember(c.board.Load(), c.versionsKept())
+	c.history.record(c.board.Load(), c.versionsToRecord())
 	return taken
 }
 
-// versionsKept returns how many versions of what it knows this instance remembers to tell others.
-func (c *Coordinator) versionsKept() int {
-	if len(c.board.Load().Instances) <= treeWidth || c.isRelay() || slices.Contains(c.duties().tree, c.config.Self.Address) {
-		return toldVersions
+// versionsToRecord returns how many versions of the snapshot this instance records for replies.
+func (c *Coordinator) versionsToRecord() int {
+	if len(c.board.Load().Instances) <= treeWidth || c.isStoreRelay() || slices.Contains(c.duties().treeRelays, c.config.Self.Address) {
+		return historyLength
 	}
-	return ownVersions
+	return shortHistoryLength
 }
 
-// adoptTargets takes over the targets that another instance believes. It reports whether they
-// were taken: not from one that has read less than this instance.
-func (c *Coordinator) adoptTargets(reply *peerapi.SyncReply, at clock.Instant) bool {
+// applyTargets applies the targets of a reply. It reports whether they were accepted: they are not
+// if the sender has read less of the registry than this instance.
+func (c *Coordinator) applyTargets(reply *peerapi.SyncReply, at clock.Instant) bool {
 	snapshot := c.board.Load()
 	if reply.TargetsDigest == snapshot.TargetsDigest {
 		c.board.ConfirmTargets(at)
@@ -263,8 +264,8 @@
 	return c.board.SetLeaderTargets(reply.TargetsRead, list, reply.TargetsKept, at)
 }
 
-// adoptInstances takes over the list of instances, where the answer has a newer one.
-func (c *Coordinator) adoptInstances(args *peerapi.SyncArgs, reply *peerapi.SyncReply) {
+// applyInstances applies the list of instances if the reply has a newer one.
+func (c *Coordinator) applyInstances(args *peerapi.SyncArgs, reply *peerapi.SyncReply) {
 	if reply.InstancesVersion == (view.InstancesVersion{}) {
 		return
 	}
@@ -272,7 +273,7 @@
 	if !reply.InstancesWhole {
 		snapshot := c.board.Load()
 		if snapshot.InstancesVersion != args.InstancesVersion {
-			// The changes are those since another list; the next answer has them.
+			// The changes are relative to another list; the next reply will have them.
 			return
 		}
 		list = slices.DeleteFunc(slices.Clone(snapshot.Instances), func(i view.Instance) bool {
@@ -284,17 +285,17 @@
 	c.board.SetInstances(reply.InstancesVersion, list)
 }
 
-// adoptMap takes over a map of the leading instance's. One that cannot be made out of the
-// one known here is read from the store, or told as a whole the next time.
-func (c *Coordinator) adoptMap(service string, news peerapi.MapUpdate) {
+// applyMapUpdate applies a changed map of the leader. An update that does not apply to the map
+// known here is dropped: the map is read from the store, or sent as a whole in a later reply.
+func (c *Coordinator) applyMapUpdate(service string, update peerapi.MapUpdate) {
 	base := keyrange.Empty()
-	if news.From != 0 {
+	if update.From != 0 {
 		base = c.board.Load().Maps[service]
-		if base == nil || base.Version != news.From {
+		if base == nil || base.Version != update.From {
 			return
 		}
 	}
-	m, err := base.Patch(news.Version, slices.Clone(news.Changed))
+	m, err := base.Patch(update.Version, slices.Clone(update.Changed))
 	if err != nil {
 		c.log("map-refused", "service", service, "error", err.Error())
 		return
--- a/coordination/lead/whole_test.go
+++ b/coordination/lead/full_state_test.go
@@ -15,8 +15,9 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// knowing returns an instance that knows so many targets, each with a range, and instances.
-func knowing(targetCount, instanceCount int) *Coordinator {
+// newCoordinatorKnowing returns an instance that knows the given number of targets, each with a key
+// range, and of instances.
+func newCoordinatorKnowing(targetCount, instanceCount int) *Coordinator {
 	c := newCoordinator()
 	list := map[string]view.Target{}
 	e := keyrange.Empty().Edit()
@@ -40,52 +41,53 @@
 	return c
 }
 
-var _ = Describe("all that an instance which starts is told", func() {
-	// Symptom: the last of 100 instances that start together hears from its seed 5 s after the first.
-	// Sequence: each is told 720 targets, their ranges and 295 instances, 120 KB, over 20 Mbit/s.
-	// Cause: it was encoded for each of them, name by name.
+var _ = Describe("the full state sent to an instance that starts", func() {
+	// Guards against 100 instances that start together waiting for their seed: the last one got its
+	// state 5 s after the first. Each was sent 720 targets, their ranges and 295 instances, 120 KB,
+	// over 20 Mbit/s, and the state was encoded again for each of them, with all names.
 	It("fits a small link, and is encoded once for all", func() {
 		const (
 			starters = 100
-			// link is what a small instance sends in a second, in bytes.
+			// link is what a small instance can send in a second, in bytes.
 			link = 20_000_000 / 8
 		)
-		c := knowing(720, 295)
+		c := newCoordinatorKnowing(720, 295)
 		args := &peerapi.SyncArgs{Starting: true}
-		first := c.news(args)
+		first := c.updateFor(args)
 		Expect(len(first.Whole) * starters).To(BeNumerically("<", 2*link))
-		Expect(testing.AllocsPerRun(10, func() { c.news(args) })).To(BeNumerically("<", 50))
-		Expect(&c.news(args).Whole[0]).To(BeIdenticalTo(&first.Whole[0]))
+		Expect(testing.AllocsPerRun(10, func() { c.updateFor(args) })).To(BeNumerically("<", 50))
+		Expect(&c.updateFor(args).Whole[0]).To(BeIdenticalTo(&first.Whole[0]))
 	})
 
-	It("is taken over as a whole, and told anew when anything has changed", func() {
-		c, starts := knowing(40, 9), newCoordinator()
+	It("is applied as a whole, and encoded again when anything has changed", func() {
+		c, starting := newCoordinatorKnowing(40, 9), newCoordinator()
 		args := &peerapi.SyncArgs{Starting: true}
-		reply := c.news(args)
+		reply := c.updateFor(args)
 		before := reply.Whole
-		Expect(unpack(reply)).To(Succeed())
-		starts.adopt(starts.clock.Now(), args, reply)
-		Expect(starts.board.Load().TargetsDigest).To(Equal(c.board.Load().TargetsDigest))
-		Expect(starts.board.Load().Instances).To(Equal(c.board.Load().Instances))
-		Expect(starts.board.Load().Maps).To(Equal(c.board.Load().Maps))
+		Expect(unpackFullState(reply)).To(Succeed())
+		starting.applyReply(starting.clock.Now(), args, reply)
+		Expect(starting.board.Load().TargetsDigest).To(Equal(c.board.Load().TargetsDigest))
+		Expect(starting.board.Load().Instances).To(Equal(c.board.Load().Instances))
+		Expect(starting.board.Load().Maps).To(Equal(c.board.Load().Maps))
 		c.board.SetInstances(view.InstancesVersion{Term: 1, Count: 2}, nil)
-		Expect(c.news(args).Whole).NotTo(Equal(before))
+		Expect(c.updateFor(args).Whole).NotTo(Equal(before))
 	})
 
-	It("is refused when it cannot be read", func() {
-		Expect(unpack(&peerapi.SyncReply{Whole: []byte("no")})).NotTo(Succeed())
+	It("is refused when it cannot be decoded", func() {
+		Expect(unpackFullState(&peerapi.SyncReply{Whole: []byte("no")})).NotTo(Succeed())
 	})
 })
 
-var _ = Describe("what an instance remembers to tell others", func() {
-	// heapOf returns the bytes that an instance of a fleet of that size keeps after many changes.
+var _ = Describe("the history that an instance records for its replies", func() {
+	// heapOf returns the bytes that the history of an instance takes after many changes, in a fleet
+	// of the given size.
 	heapOf := func(instanceCount int) uint64 {
-		c := knowing(720, instanceCount)
+		c := newCoordinatorKnowing(720, instanceCount)
 		c.config.Self = view.Instance{ID: "self", Address: "self"}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		for i := range 2 * toldVersions {
+		for i := range 2 * historyLength {
 			e := c.board.Load().Maps["bookings"].Edit()
 			e.Move(uint16(i*400), uint16(i*400+100), "next", false)
 			c.board.SetMap("bookings", e.Map())
@@ -93,7 +95,7 @@
 			id := fmt.Sprint("new", i)
 			list[id] = view.Target{ID: id, Service: "s", Address: id}
 			c.board.SetTargets(uint64(10+i), list, clock.System{}.Now())
-			c.told.remember(c.board.Load(), c.versionsKept())
+			c.history.record(c.board.Load(), c.versionsToRecord())
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -101,10 +103,10 @@
 		return after.HeapAlloc - before.HeapAlloc
 	}
 
-	// Symptom: each of 280 small instances has 45 MB in memory. Sequence: maps and targets change some
-	// hundred times; the last 64 versions of both are kept, by all. Cause: whoever might lead was
-	// taken to answer all others then.
-	It("is little where it answers no others", func() {
+	// Guards against 45 MB of history on each of 280 small instances: all of them recorded the last
+	// 64 versions of maps and targets, because any of them might become leader and reply to all
+	// others.
+	It("is small on an instance that replies to no others", func() {
 		Expect(heapOf(295)).To(BeNumerically("<", 3<<20))
 		Expect(heapOf(9)).To(BeNumerically(">", 6<<20))
 	})
--- a/coordination/lead/handover.go
+++ b/coordination/lead/handover.go
@@ -9,34 +9,35 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// The first instance that finds the lease free takes it. After an outage, and after all were killed,
-// that may be a small one: it answers the reports of all others and renews all grants with a sixth
-// of a core over a link of 10 Mbit/s. What its followers know then grows too old, so that all of
-// them read the store, reports are not answered in time, and a change of the configuration is known
-// seconds late.
+// The first instance that finds the lease free takes it. After an outage, or after all instances
+// were killed, that may be a small one with a sixth of a core and a 10 Mbit/s link. It has to
+// answer the reports of all others and renew all grants. Its followers' snapshots then become
+// stale, so that all of them read the store, reports time out, and a change of the configuration is
+// known seconds late.
 //
-// So it leads until a much larger one reports, and then gives the lease up for it.
+// So a small instance leads only until a much larger one reports, and then hands the lease over.
 const (
-	// largerBy is how many times its own part of a core another instance must have.
-	largerBy = 2
-	// outrankedBid is how long a small instance holds its bid back for a lease that was given up while
-	// a much larger one was there. Two small ones led in turn before a large one had heard of it.
-	outrankedBid = 800 * time.Millisecond
-	// standBack is how long an instance that has handed the lease over does not bid: the time in
-	// which a larger one, whose report has just been refused, has looked at the lease and bid.
-	standBack = 1500 * time.Millisecond
-	// handOverEvery is the time between two times that an instance hands the lease over. A larger one
-	// may be cut off from the store, and cannot take it.
-	handOverEvery = 30 * time.Second
+	// muchLargerFactor is the ratio of core shares from which on an instance counts as much larger.
+	muchLargerFactor = 2
+	// outrankedBidDelay is how long a small instance delays its bid for a lease that was given up
+	// while a much larger instance was present. Without it small instances lead in turn before the
+	// large one has learnt that the lease is free.
+	outrankedBidDelay = 800 * time.Millisecond
+	// handOverBidPause is how long an instance that has handed the lease over does not bid. In that
+	// time the larger instance, whose report has just been refused, reads the lease and bids.
+	handOverBidPause = 1500 * time.Millisecond
+	// handOverInterval is the minimum time between two handovers by an instance. The larger
+	// instance may be cut off from the store and unable to take the lease.
+	handOverInterval = 30 * time.Second
 )
 
 // handOver gives the lease up when a much larger instance has reported.
 func (t *term) handOver(ctx context.Context, now clock.Instant) {
-	if t.committing || t.dark || t.suspects(now) {
+	if t.committing || t.storeUnavailable || t.suspectsCutOff(now) {
 		return
 	}
 	larger := t.muchLargerMember()
-	if larger == "" || !t.c.mayHandOver(now) {
+	if larger == "" || !t.c.beginHandOver(now) {
 		return
 	}
 	t.ended = true
@@ -44,7 +45,8 @@
 	go t.resign(ctx)
 }
 
-// muchLargerMember names a much larger instance that has reported in this term; empty: none has.
+// muchLargerMember returns the ID of a much larger instance that has reported in this term; empty
+// if there is none.
 func (t *term) muchLargerMember() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,28 +58,29 @@
 	return ""
 }
 
-func muchLarger(other, self view.Instance) bool { return other.Weight >= largerBy*self.Weight }
+func muchLarger(other, self view.Instance) bool { return other.Weight >= muchLargerFactor*self.Weight }
 
-// outranked reports whether a much larger instance was present a moment ago. It is given time to
-// bid for a lease whose holder has just left it.
-func (c *Coordinator) outranked() bool {
+// knowsMuchLarger reports whether the snapshot lists a much larger instance. Such an instance is
+// given time to bid for a lease whose holder has just left.
+func (c *Coordinator) knowsMuchLarger() bool {
 	return slices.ContainsFunc(c.board.Load().Instances, func(i view.Instance) bool { return muchLarger(i, c.config.Self) })
 }
 
-// mayHandOver reports whether this instance may hand the lease over now, and notes that it does.
-func (c *Coordinator) mayHandOver(now clock.Instant) bool {
+// beginHandOver reports whether this instance may hand the lease over now, and if so notes that it
+// does.
+func (c *Coordinator) beginHandOver(now clock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.handedOver != clock.Never && now.Sub(c.handedOver) < handOverEvery {
+	if c.handedOverAt != clock.Never && now.Sub(c.handedOverAt) < handOverInterval {
 		return false
 	}
-	c.handedOver = now
+	c.handedOverAt = now
 	return true
 }
 
-// standsBack reports whether this instance leaves the lease to a larger one.
-func (c *Coordinator) standsBack() bool {
+// pausesBids reports whether this instance leaves the lease to a larger one.
+func (c *Coordinator) pausesBids() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handedOver != clock.Never && c.clock.Now().Sub(c.handedOver) < standBack
+	return c.handedOverAt != clock.Never && c.clock.Now().Sub(c.handedOverAt) < handOverBidPause
 }
--- a/coordination/lead/handover_test.go
+++ b/coordination/lead/handover_test.go
@@ -16,7 +16,7 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// memoryStore keeps rows, and changes them under conditions.
+// memoryStore is a store in memory with conditional changes.
 type memoryStore struct {
 	mu      sync.Mutex
 	rows    map[store.ID]store.Row
@@ -56,23 +56,26 @@
 	return nil, after, ctx.Err()
 }
 
-// cutOff is a store that takes no change from one instance.
-type cutOff struct{ store.Store }
+// readOnlyStore refuses all changes.
+type readOnlyStore struct{ store.Store }
 
-func (cutOff) Commit(context.Context, store.Txn) (uint64, error) { return 0, store.ErrNotApplied }
+func (readOnlyStore) Commit(context.Context, store.Txn) (uint64, error) {
+	return 0, store.ErrNotApplied
+}
 
 var _ = Describe("the lease of a small instance", func() {
 	var s *memoryStore
 
-	// meet makes two instances that know each other as seeds; on is the store of the second one.
-	meet := func(smallWeight, largeWeight float64, on store.Store) (small, large *Coordinator) {
+	// newPair returns two instances that have each other as seeds; largeStore is the store of the
+	// large one.
+	newPair := func(smallWeight, largeWeight float64, largeStore store.Store) (small, large *Coordinator) {
 		all := directory{}
 		instance := func(name string, weight float64, on store.Store) *Coordinator {
 			self := view.Instance{ID: name + ".1", Address: name, Weight: weight}
-			all[name] = New(Config{Self: self, Seeds: []string{"small", "large"}}, clock.System{}, on, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), quiet)
+			all[name] = New(Config{Self: self, Seeds: []string{"small", "large"}}, clock.System{}, on, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), discardLog)
 			return all[name]
 		}
-		return instance("small", smallWeight, s), instance("large", largeWeight, on)
+		return instance("small", smallWeight, s), instance("large", largeWeight, largeStore)
 	}
 
 	// start runs an instance until the end of the spec.
@@ -88,12 +91,11 @@
 
 	BeforeEach(func() { s = &memoryStore{rows: map[store.ID]store.Row{}} })
 
-	// Symptom: a quarter of all requests are refused for 15 seconds after an outage, and a change of
-	// the configuration is known seconds late. Sequence: an instance with a sixth of a core is the
-	// first to find the lease free, and answers 88 others. Cause: whoever was first led for good.
-	// Evidence: of five plays of one day three had such a leader, and these three were the bad ones.
-	It("goes to a much larger one as soon as that reports", func() {
-		small, large := meet(0.16, 0.8, s)
+	// Guards against a small instance that leads for good: with a sixth of a core it was the first
+	// to find the lease free after an outage, and had to reply to 88 others. A quarter of all
+	// requests were refused for 15 s, and changes of the configuration were known seconds late.
+	It("is handed over to a much larger instance as soon as that one reports", func() {
+		small, large := newPair(0.16, 0.8, s)
 		start(small)
 		Eventually(small.Leading, "2s", "5ms").Should(BeTrue())
 		start(large)
@@ -103,17 +105,17 @@
 	})
 
 	It("stays where it is among instances of about the same size", func() {
-		small, large := meet(0.3, 0.5, s)
+		small, large := newPair(0.3, 0.5, s)
 		start(small)
 		Eventually(small.Leading, "2s", "5ms").Should(BeTrue())
 		start(large)
 		Consistently(small.Leading, "2s", "20ms").Should(BeTrue())
 	})
 
-	// A larger instance that reports, but cannot write to the store, must not leave all without a
-	// leading instance again and again.
-	It("is taken back, and kept, when the larger one cannot take it", func() {
-		small, large := meet(0.16, 0.8, cutOff{s})
+	// Guards against handovers without end: a larger instance that reports but cannot write to the
+	// store must not leave all instances without a leader again and again.
+	It("is taken back, and kept, when the larger instance cannot take it", func() {
+		small, large := newPair(0.16, 0.8, readOnlyStore{s})
 		start(small)
 		Eventually(small.Leading, "2s", "5ms").Should(BeTrue())
 		start(large)
--- a/coordination/lead/members.go
+++ b/coordination/lead/members.go
@@ -10,63 +10,64 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// firstMembers is how long a leading instance that knows of no others waits for their
-// reports before it tells anybody who is there.
-const firstMembers = 300 * time.Millisecond
+// initialMembersWait is how long a new leader that knows of no other instances waits for their
+// reports before it publishes a list of instances.
+const initialMembersWait = 300 * time.Millisecond
 
 type member struct {
 	view.Instance
-	heardAt clock.Instant
-	leaving bool
-	// reported says that it has reported in this term, and is not only known from before.
+	reportedAt clock.Instant
+	leaving    bool
+	// reported says that the instance has reported in this term, and is not only known from before.
 	reported bool
 }
 
-// checkMembers drops instances that have not been heard from.
-func (t *term) checkMembers(now clock.Instant) {
+// updateMembers removes instances that have left or stopped reporting, and publishes the list if it
+// has changed.
+func (t *term) updateMembers(now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.members[t.c.config.Self.ID].heardAt = now
-	if t.count == 0 && !t.knew && now.Sub(t.begun) < firstMembers {
+	t.members[t.c.config.Self.ID].reportedAt = now
+	if t.memberListCount == 0 && !t.knewMembers && now.Sub(t.begunAt) < initialMembersWait {
 		return
 	}
-	changed := t.count == 0 || t.joined
+	changed := t.memberListCount == 0 || t.membersJoined
 	for id, m := range t.members {
-		if now.Sub(m.heardAt) > memberFor || m.leaving {
+		if now.Sub(m.reportedAt) > memberTimeout || m.leaving {
 			delete(t.members, id)
 			t.c.log("instance-gone", "other", id)
 			changed = true
 		}
 	}
 	if changed {
-		// Instances that start together are told together: each list goes to all.
-		t.joined = false
+		// Instances that start together are published together: each list is sent to all.
+		t.membersJoined = false
 		t.publishMembers()
 	}
 }
 
 // publishMembers puts the list of instances into force. The caller holds the lock.
 func (t *term) publishMembers() {
-	t.count++
+	t.memberListCount++
 	list := make([]view.Instance, 0, len(t.members))
 	for _, m := range t.members {
 		list = append(list, m.Instance)
 	}
 	slices.SortFunc(list, func(a, b view.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	t.c.board.SetInstances(view.InstancesVersion{Term: t.stored.lease.Term, Count: t.count}, list)
+	t.c.board.SetInstances(view.InstancesVersion{Term: t.stored.lease.Term, Count: t.memberListCount}, list)
 }
 
-// heardAll notes a report, and those that came through its sender.
-func (t *term) heardAll(args *peerapi.SyncArgs) {
+// noteReport notes the sender of a report, and the instances whose reports it forwards.
+func (t *term) noteReport(args *peerapi.SyncArgs) {
 	now := t.c.clock.Now()
-	t.heard(args.Self, now, args.Leaving)
+	t.noteMember(args.Self, now, args.Leaving)
 	for _, m := range args.Members {
-		t.heard(m.Instance, now.Add(-m.Age), m.Leaving)
+		t.noteMember(m.Instance, now.Add(-m.Age), m.Leaving)
 	}
 }
 
-// heard notes a report that an instance made at the given time.
-func (t *term) heard(i view.Instance, at clock.Instant, leaving bool) {
+// noteMember notes that an instance reported at the given time.
+func (t *term) noteMember(i view.Instance, at clock.Instant, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.members[i.ID]
@@ -74,11 +75,11 @@
 		if leaving {
 			return
 		}
-		t.members[i.ID] = &member{Instance: i, heardAt: at, reported: true}
-		t.joined = true
+		t.members[i.ID] = &member{Instance: i, reportedAt: at, reported: true}
+		t.membersJoined = true
 		return
 	}
-	m.heardAt = m.heardAt.Later(at)
+	m.reportedAt = m.reportedAt.Later(at)
 	m.reported = true
 	m.leaving = m.leaving || leaving
 }
--- a/coordination/lead/outage.go
+++ b/coordination/lead/outage.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// errStoreBack ends a call that began before another one showed that the store is back.
-var errStoreBack = errors.New("lead: the store is back; the call is made anew")
+// errStoreAvailable cancels a call that began before another call showed that the store is back.
+var errStoreAvailable = errors.New("lead: the store is available again; the call is repeated")
 
-// outage lasts while the store does not answer this instance.
+// outage is a period in which the store does not answer this instance.
 //
-// A call that was sent while the store was silent is never answered, and a pause that has grown
-// goes on when the store is back: with its own time limit alone a call would delay what the store has
-// acknowledged since. Whatever waits is begun anew when the first call is answered.
+// A call that was sent during the outage is never answered, and a backoff pause that has grown
+// continues after the store is back. With only their own timeouts, such calls would delay changes
+// that the store has acknowledged since. So when the first call is answered, all pending calls and
+// pauses are cancelled and the calls are repeated.
 type outage struct {
 	// over is done when the store is back.
 	over context.Context
@@ -25,43 +26,44 @@
 	return outage{over, end}
 }
 
-// shortOutage is how long the store must have been lost for what waits to be begun anew: longer than
-// a feed waits. Where single answers are lost, what waits is answered.
-const shortOutage = time.Second
+// minOutage is the shortest outage after which pending calls are repeated. It is longer than a feed
+// waits: where only single answers are lost, a pending feed is still answered.
+const minOutage = time.Second
 
-// endOutage has what waits begun anew. The caller holds the lock.
+// endOutage cancels pending calls and pauses, unless the outage was shorter than minOutage. The
+// caller holds the lock.
 func (c *Coordinator) endOutage() {
-	if c.clock.Now().Sub(c.lostAt) < shortOutage {
+	if c.clock.Now().Sub(c.storeLostAt) < minOutage {
 		return
 	}
 	c.outage.end()
 	c.outage = newOutage()
 }
 
-// currentOutage returns the outage there is, or the next one.
+// currentOutage returns the present outage, or the next one if the store is available.
 func (c *Coordinator) currentOutage() outage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.outage
 }
 
-// untilBack returns a context for a call that is given up when the store is back.
-func (c *Coordinator) untilBack(ctx context.Context) (callCtx context.Context, done func()) {
+// untilStoreBack returns a context for a call that is cancelled when the store is back.
+func (c *Coordinator) untilStoreBack(ctx context.Context) (callCtx context.Context, done func()) {
 	callCtx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(c.currentOutage().over, func() { cancel(errStoreBack) })
+	stop := context.AfterFunc(c.currentOutage().over, func() { cancel(errStoreAvailable) })
 	return callCtx, func() {
 		stop()
 		cancel(nil)
 	}
 }
 
-// givenUp reports whether a call was given up because the store is back.
-func givenUp(callCtx context.Context, err error) bool {
-	return err != nil && errors.Is(context.Cause(callCtx), errStoreBack)
+// abandoned reports whether a call was cancelled because the store is back.
+func abandoned(callCtx context.Context, err error) bool {
+	return err != nil && errors.Is(context.Cause(callCtx), errStoreAvailable)
 }
 
-// pauseUntilBack pauses after a call, but not beyond the end of an outage.
-func (c *Coordinator) pauseUntilBack(ctx context.Context, d time.Duration) {
+// pauseUntilStoreBack pauses after a call, but not beyond the end of an outage.
+func (c *Coordinator) pauseUntilStoreBack(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/coordination/lead/poll.go
+++ b/coordination/lead/poll.go
@@ -10,11 +10,12 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// reads reports whether this instance has to read the store itself. The leading one does, and relays
-// while nobody leads. Another one whose knowledge is old asks relays first, and reads if that does not
-// help and the store answers, or may do so again: refused calls are paid for too.
-func (c *Coordinator) reads(ctx context.Context) bool {
-	relay := c.isRelay()
+// shouldReadStore reports whether this instance has to read the store itself. The leader does, and
+// relays do while nobody leads. Any other instance with a stale snapshot asks relays first. It
+// reads if that does not help and the store answers or may be tried again: refused calls are paid
+// for too.
+func (c *Coordinator) shouldReadStore(ctx context.Context) bool {
+	relay := c.isStoreRelay()
 	now := c.clock.Now()
 	age := now.Sub(c.board.CurrentAsOf())
 	c.mu.Lock()
@@ -24,68 +25,68 @@
 	case must:
 		return true
 	case relay:
-		return age > relayStaleAfter && c.mayTryStore(failedMost)
-	case age <= staleAfter || c.relaysHelp(ctx):
+		return age > relayStaleAfter && c.mayCallStore(maxBackoff)
+	case age <= staleAfter || c.keptCurrentByRelays(ctx):
 		return false
 	}
-	return c.mayTryStore(c.tryAgain())
+	return c.mayCallStore(c.storeRetryPause())
 }
 
-// mayTryStore reports whether the store answers this instance, or failed to do so long ago. A call that
-// failed long ago says nothing: one that follows makes none, and would not notice that its leading
-// instance has been cut off.
-func (c *Coordinator) mayTryStore(pause time.Duration) bool {
+// mayCallStore reports whether the store answers this instance, or last failed at least pause ago.
+// An old failure proves nothing: a follower makes no calls to the store, and would not notice that
+// its leader has been cut off.
+func (c *Coordinator) mayCallStore(pause time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storeOK || c.clock.Now().Sub(c.failedAt) >= pause
+	return c.storeAvailable || c.clock.Now().Sub(c.storeFailedAt) >= pause
 }
 
-// tryAgain returns how long after a call that failed this instance makes the next one. While relays
-// answer, they notice when the store is back.
-func (c *Coordinator) tryAgain() time.Duration {
-	pause := c.shared(failedMost)
+// storeRetryPause returns how long after a failed call this instance makes the next one. While
+// relays reply, the pause may be long: they notice when the store is back.
+func (c *Coordinator) storeRetryPause() time.Duration {
+	pause := c.scaleToFleet(maxBackoff)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.relaysAnsweredAt != clock.Never && c.clock.Now().Sub(c.relaysAnsweredAt) <= 2*longestPoll {
+	if c.relaysRepliedAt != clock.Never && c.clock.Now().Sub(c.relaysRepliedAt) <= 2*maxPollInterval {
 		return pause
 	}
-	return min(longestLook, pause)
+	return min(maxLeaseReadInterval, pause)
 }
 
-// relaysHelp reports whether relays keep what this instance knows new enough, and asks them when it is
-// time to.
-func (c *Coordinator) relaysHelp(ctx context.Context) bool {
+// keptCurrentByRelays reports whether relays keep this instance's snapshot fresh enough, and asks
+// them when it is time to.
+func (c *Coordinator) keptCurrentByRelays(ctx context.Context) bool {
 	if c.board.CurrentAsOf() == clock.Never {
 		return false
 	}
-	if c.mayRefresh() {
-		helped := c.refreshed(ctx)
+	if c.beginRefresh() {
+		helped := c.refreshFromRelays(ctx)
 		c.mu.Lock()
-		c.relaysFailed = !helped
+		c.refreshFailed = !helped
 		c.mu.Unlock()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.relaysFailed
+	return !c.refreshFailed
 }
 
-// refreshed asks relays when what this instance knows has become old, and reports whether that has
-// helped. They read by themselves a little earlier. Without them all instances would read the whole
-// configuration and registry while a leading instance is turned away by the store, and again until another
-// one leads.
-func (c *Coordinator) refreshed(ctx context.Context) bool {
-	relays := c.relays()
+// refreshFromRelays asks relays for a fresher snapshot, and reports whether this instance's
+// snapshot is not stale any more. Relays read the store a little earlier than others. Without them
+// all instances would read the whole configuration and registry while the store refuses the leader,
+// and again until another instance leads.
+func (c *Coordinator) refreshFromRelays(ctx context.Context) bool {
+	relays := c.storeRelays()
 	if len(relays) == 0 {
 		return false
 	}
 	first := int(xxhash.Sum64String(c.config.Self.ID) % uint64(len(relays)))
 	for i := range relays {
 		address := relays[(first+i)%len(relays)]
-		if !c.mayAnswer(address) || !c.askSoon(ctx, address) {
+		if !c.isResponsive(address) || !c.askWithinRefreshTimeout(ctx, address) {
 			continue
 		}
 		c.mu.Lock()
-		c.relaysAnsweredAt = c.clock.Now()
+		c.relaysRepliedAt = c.clock.Now()
 		c.mu.Unlock()
 		if c.clock.Now().Sub(c.board.CurrentAsOf()) <= staleAfter {
 			return true
@@ -94,102 +95,105 @@
 	return false
 }
 
-// refreshTimeout bounds the question to one relay. Three that do not answer leave 0.4 s for a reading
-// before what is known is 2 s old.
+// refreshTimeout bounds the question to one relay. Three relays that do not answer leave 0.4 s for
+// a read before the snapshot is 2 s old.
 const refreshTimeout = 120 * time.Millisecond
 
-// errNotSoon ends a question to a relay that did not answer soon. The connection stays: permits are
-// asked for over it.
-var errNotSoon = errors.New("lead: the relay did not answer soon")
+// errRefreshTimeout cancels a question to a relay that did not answer in time. The connection stays
+// open, because requests for permits use it too.
+var errRefreshTimeout = errors.New("lead: the relay did not reply within the refresh timeout")
 
-// askSoon asks a relay that must answer soon.
-func (c *Coordinator) askSoon(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeoutCause(ctx, refreshTimeout, errNotSoon)
+// askWithinRefreshTimeout asks one relay, which must reply within refreshTimeout.
+func (c *Coordinator) askWithinRefreshTimeout(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeoutCause(ctx, refreshTimeout, errRefreshTimeout)
 	defer cancel()
-	return c.ask(ctx, address, false)
+	return c.askRelay(ctx, address, false)
 }
 
-// mayRefresh reports whether it is time to ask relays again, and notes that this instance does.
-func (c *Coordinator) mayRefresh() bool {
-	pause := min(longestPoll, c.shared(pollEvery))
+// beginRefresh reports whether it is time to ask relays again, and if so notes that this instance
+// does.
+func (c *Coordinator) beginRefresh() bool {
+	pause := min(maxPollInterval, c.scaleToFleet(pollInterval))
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refreshAt != clock.Never && now.Sub(c.refreshAt) < pause {
+	if c.refreshedAt != clock.Never && now.Sub(c.refreshedAt) < pause {
 		return false
 	}
-	c.refreshAt = now
+	c.refreshedAt = now
 	return true
 }
 
-// readRules keeps the configuration current while that is this instance's business.
-func (c *Coordinator) readRules(ctx context.Context) {
+// pollRules keeps the configuration current while this instance has to read it.
+func (c *Coordinator) pollRules(ctx context.Context) {
 	pause := newBackoff()
-	// wait is how long a reading may wait for a change. The first one and one after a change do
-	// not wait, so that they tell soon that there is none: when a change ended a feed is not
-	// known, and what it brought counts as known since that began. With the next feed's wait
-	// knowledge would be so old that all followers read the store themselves.
+	// wait is how long a read may wait for a change. The first read and the one after a change do
+	// not wait, so that they soon confirm the current state. The time at which a change ended a
+	// feed is not known, so its result counts as current only since the feed began. If the next
+	// feed waited too, the snapshot would become so old that all followers read the store
+	// themselves.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
-		if !c.reads(ctx) {
+		if !c.shouldReadStore(ctx) {
 			wait = 0
-			sleep(ctx, pollEvery/4)
+			sleep(ctx, pollInterval/4)
 			continue
 		}
-		callCtx, done := c.untilBack(ctx)
+		callCtx, done := c.untilStoreBack(ctx)
 		changed, err := c.reader.readRules(callCtx, wait)
 		done()
-		wait = rulesWait
+		wait = rulesFeedWait
 		if err != nil || changed {
 			wait = 0
 		}
-		if givenUp(callCtx, err) {
+		if abandoned(callCtx, err) {
 			continue
 		}
-		c.noteStore(ctx, err)
-		c.pauseUntilBack(ctx, pause.after(err, 0))
+		c.noteStoreResult(ctx, err)
+		c.pauseUntilStoreBack(ctx, pause.after(err, 0))
 	}
 }
 
-// readTargets keeps the registry current while that is this instance's business.
-func (c *Coordinator) readTargets(ctx context.Context) {
+// pollTargets keeps the registry current while this instance has to read it.
+func (c *Coordinator) pollTargets(ctx context.Context) {
 	pause := newBackoff()
 	for ctx.Err() == nil {
-		if !c.reads(ctx) {
-			sleep(ctx, pollEvery/4)
+		if !c.shouldReadStore(ctx) {
+			sleep(ctx, pollInterval/4)
 			continue
 		}
-		callCtx, done := c.untilBack(ctx)
+		callCtx, done := c.untilStoreBack(ctx)
 		limited, cancel := context.WithTimeout(callCtx, callTimeout)
 		err := c.reader.readTargets(limited)
 		cancel()
 		done()
-		if givenUp(callCtx, err) {
+		if abandoned(callCtx, err) {
 			continue
 		}
-		c.noteStore(ctx, err)
-		c.pauseUntilBack(ctx, pause.after(err, c.pollPause()))
+		c.noteStoreResult(ctx, err)
+		c.pauseUntilStoreBack(ctx, pause.after(err, c.pollPause()))
 	}
 }
 
-// noteStore logs when the store is lost and when it is back. A call that this instance gave up
-// because it ends, as ctx tells, says nothing about the store.
-func (c *Coordinator) noteStore(ctx context.Context, err error) {
+// noteStoreResult records the result of a call to the store, and logs when the store becomes
+// unavailable and when it is back. A call that failed because ctx is done, when this instance ends,
+// says nothing about the store.
+func (c *Coordinator) noteStoreResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.failedAt = c.clock.Now()
+		c.storeFailedAt = c.clock.Now()
 	}
-	if ok := err == nil; ok != c.storeOK {
-		c.storeOK = ok
+	if ok := err == nil; ok != c.storeAvailable {
+		c.storeAvailable = ok
 		if ok {
 			c.endOutage()
 			c.log("store-back")
 		} else {
-			c.lostAt = c.clock.Now()
+			c.storeLostAt = c.clock.Now()
 			c.log("store-lost", "error", err.Error())
 		}
 	}
--- a/coordination/lead/quarantine_test.go
+++ b/coordination/lead/quarantine_test.go
@@ -9,18 +9,18 @@
 	"lycheehall.example/lycheehall/coordination/quarantine"
 )
 
-var _ = Describe("a request under which targets end at different instances", func() {
-	// learnTime is the time after the last crash in which all instances must know of it.
+var _ = Describe("a request that crashes targets of different instances", func() {
+	// learnTime is the time after the last crash within which all instances must know of it.
 	const learnTime = 3 * time.Second
 
 	id := quarantine.Identity{Fingerprint: 7, Caller: 1}
 
-	// knowing counts the instances at which the request is quarantined, but for those that are down.
-	knowing := func(g *grown) int {
+	// countQuarantined counts the running instances on which the request is quarantined.
+	countQuarantined := func(g *largeFleet) int {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		count := 0
-		for address, c := range g.all {
+		for address, c := range g.coordinators {
 			if _, is := c.quarantine.Quarantined(id); is && !g.down[address] {
 				count++
 			}
@@ -28,26 +28,26 @@
 		return count
 	}
 
-	// Symptom: a request goes on to crash targets through instances that have not seen it. Sequence: two
-	// instances of different data centres of a large fleet see one crash each.
-	// Cause: no instance saw enough by itself.
+	// Guards against a request that crashes more targets through instances that have not seen it:
+	// two instances of different data centres of a large fleet see one crash each, and neither has
+	// seen enough by itself.
 	It("is known to all in time", func() {
-		g := newGrown(120, 5)
+		g := newLargeFleet(120, 5)
 		g.start()
-		g.all[g.list[118].Address].quarantine.RecordCrash(id, "t1")
-		g.all[g.list[119].Address].quarantine.RecordCrash(id, "t2")
-		Eventually(func() int { return knowing(g) }, learnTime, "20ms").Should(Equal(120))
+		g.coordinators[g.instances[118].Address].quarantine.RecordCrash(id, "t1")
+		g.coordinators[g.instances[119].Address].quarantine.RecordCrash(id, "t2")
+		Eventually(func() int { return countQuarantined(g) }, learnTime, "20ms").Should(Equal(120))
 	})
 
-	// Sequence: the same, while a relay of the tree that one of them reports through is lost.
+	// The same, while a tree relay through which one of the two reports is lost.
 	It("is known to all in time when a relay is lost", func() {
-		g := newGrown(120, 5)
+		g := newLargeFleet(120, 5)
 		g.start()
 		time.Sleep(300 * time.Millisecond)
-		g.all[g.list[118].Address].quarantine.RecordCrash(id, "t1")
-		g.all[g.list[119].Address].quarantine.RecordCrash(id, "t2")
+		g.coordinators[g.instances[118].Address].quarantine.RecordCrash(id, "t1")
+		g.coordinators[g.instances[119].Address].quarantine.RecordCrash(id, "t2")
 		lost := g.relaysOf("dc4")[0]
-		g.set(g.down, true, lost)
-		Eventually(func() int { return knowing(g) }, learnTime, "20ms").Should(BeNumerically(">=", 119))
+		g.setFlags(g.down, true, lost)
+		Eventually(func() int { return countQuarantined(g) }, learnTime, "20ms").Should(BeNumerically(">=", 119))
 	})
 })
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -13,24 +13,24 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Source names what the platform keeps in the store, and reads it.
+// Source describes the platform's tables in the store and decodes their rows.
 type Source struct {
 	RulesTable  string
 	IsRules     func(store.Row) bool
 	DecodeRules func(value []byte) (version uint64, set *rules.Set, err error)
-	// EvacuatedDataCentre returns the data centre that a row of RulesTable asks to evacuate, as long as the row
-	// is there; nil: no row does.
+	// EvacuatedDataCentre returns the data centre that a row of RulesTable evacuates for as long as
+	// the row exists. Nil if no row does that.
 	EvacuatedDataCentre func(store.Row) (dataCentre string, ok bool)
 
 	TargetTable  string
 	DecodeTarget func(store.Row) (view.Target, error)
 }
 
-// callTimeout bounds a call to the store. Answers take 4 ms, and 60 times as long when the
-// store is slow.
+// callTimeout bounds a call to the store. A healthy store answers within 4 ms; a slow one takes
+// 60 times as long.
 const callTimeout = 1200 * time.Millisecond
 
-// reader follows the configuration and the registry into a Board.
+// reader copies the configuration and the registry from the store into a Board.
 type reader struct {
 	clock  clock.Clock
 	store  store.Store
@@ -38,51 +38,54 @@
 	board  *view.Board
 	log    Log
 
-	// targetsNext is the version that the feed of the registry goes on from; 0: the table must
-	// be read as a whole.
+	// targetsNext is the version from which the feed of the registry continues; 0 if the whole
+	// table must be read.
 	targetsNext uint64
-	// targets are the entries of the registry that name a target, by their keys.
+	// targets are the registry's valid entries, by row key.
 	targets map[string]view.Target
-	// older are the entries that tell of an earlier life of a target than targets do.
-	older map[string]olderEntry
-	// returnedAt is when the configuration was first read after the store came back from a copy; Never:
-	// that is not so, or so long ago that the store has all of it again.
-	returnedAt clock.Instant
-	// refused are the keys of entries that name no target, as far as they have been told.
-	refused map[string]bool
+	// earlierStarts are entries that name an earlier start of a target than targets does, by row
+	// key.
+	earlierStarts map[string]earlierStart
+	// restoredAt is when the configuration was first read after the store was restored from a copy.
+	// Never if it was not restored, or so long ago that all lost rows have been written again.
+	restoredAt clock.Instant
+	// rejected are the keys of invalid entries that have been logged.
+	rejected map[string]bool
 }
 
-// olderEntry is an entry whose target was started before the one known by its name.
-type olderEntry struct {
+// earlierStart is an entry whose target was started before the one known by its name.
+type earlierStart struct {
 	target view.Target
 	since  clock.Instant
 }
 
 const (
-	// olderFor is how long an entry must tell of an earlier start before that is believed. What
-	// a former life has written may take effect after the next one has registered, which writes
-	// again within a heartbeat, 0.87 s; a process whose clock was set back goes on telling it.
-	olderFor = 2 * time.Second
-	// mostRefused bounds the entries that are told to name no target.
-	mostRefused = 256
+	// acceptEarlierStartAfter is how long an entry must name an earlier start before it is
+	// accepted. A write of a former process may take effect after the next process has registered;
+	// that one writes again within a heartbeat, 0.87 s. A process whose clock was set back keeps
+	// writing the earlier start.
+	acceptEarlierStartAfter = 2 * time.Second
+	// maxRejectedLogged bounds the invalid entries that are logged.
+	maxRejectedLogged = 256
 )
 
 func newReader(c clock.Clock, s store.Store, source Source, board *view.Board, log Log) *reader {
-	return &reader{clock: c, store: s, source: source, board: board, log: log, targets: map[string]view.Target{}, older: map[string]olderEntry{}, refused: map[string]bool{}, returnedAt: clock.Never}
+	return &reader{clock: c, store: s, source: source, board: board, log: log, targets: map[string]view.Target{}, earlierStarts: map[string]earlierStart{}, rejected: map[string]bool{}, restoredAt: clock.Never}
 }
 
-// readRules brings the configuration up to date, and waits for a change for at most wait. It
-// reports whether there was one.
+// readRules brings the configuration up to date, and waits up to wait for a change. It reports
+// whether there was one.
 //
-// It goes on from what the instance knows, whoever read that: one that began with the whole table would read
-// and decode again what it has just been told, when it has least time for it.
+// It continues from the version known to this instance, whether read here or received in a reply.
+// An instance that began with the whole table would read and decode again what it has just
+// received, at a time when it is busiest.
 func (r *reader) readRules(ctx context.Context, wait time.Duration) (changed bool, err error) {
 	begun := r.clock.Now()
 	after := r.board.RulesReadVersion()
 	from := after
-	returned := r.returnedAt != clock.Never && begun.Sub(r.returnedAt) >= view.RestoreGrace
-	if returned {
-		// What was believed beside the store's word is no more.
+	graceOver := r.restoredAt != clock.Never && begun.Sub(r.restoredAt) >= view.RestoreGrace
+	if graceOver {
+		// The grace time after the restore is over: what the store does not list is dropped.
 		from = 0
 	}
 	rows, next, whole, err := r.read(ctx, r.source.RulesTable, from, wait)
@@ -92,32 +95,32 @@
 	switch {
 	case after != 0 && store.EraOf(next) > store.EraOf(after):
 		r.log("store-returned", "era", store.EraOf(next), "version", store.CountOf(next), "before", store.CountOf(after))
-		r.returnedAt = begun
-	case returned:
-		r.returnedAt = clock.Never
+		r.restoredAt = begun
+	case graceOver:
+		r.restoredAt = clock.Never
 	}
 	if !whole && len(rows) == 0 && r.clock.Now().Sub(begun) >= wait {
-		// The store answered that there is no change after it had waited that long.
+		// The store confirmed that there was no change after it had waited that long.
 		begun = begun.Add(wait)
 	}
 	for _, row := range rows {
 		if !row.Deleted && row.Version > after && r.source.IsRules(row) {
-			r.adoptRules(row, begun)
+			r.applyRules(row, begun)
 		}
 	}
-	r.adoptEvacuations(rows, next, whole)
+	r.applyEvacuations(rows, next, whole)
 	r.board.ConfirmRules(next, begun)
 	return len(rows) > 0, nil
 }
 
-// adoptEvacuations takes over which data centres are evacuated after a reading of the table as a whole,
-// or of what has changed in it.
-func (r *reader) adoptEvacuations(rows []store.Row, version uint64, whole bool) {
+// applyEvacuations updates the evacuated data centres from a read of the whole table, or of the
+// changes in it.
+func (r *reader) applyEvacuations(rows []store.Row, version uint64, whole bool) {
 	if r.source.EvacuatedDataCentre == nil {
 		return
 	}
 	evacuated := map[string]bool{}
-	if !whole || r.returnedAt != clock.Never {
+	if !whole || r.restoredAt != clock.Never {
 		for _, dataCentre := range r.board.Load().Evacuations.List() {
 			evacuated[dataCentre] = true
 		}
@@ -133,7 +136,7 @@
 	}
 }
 
-func (r *reader) adoptRules(row store.Row, at clock.Instant) {
+func (r *reader) applyRules(row store.Row, at clock.Instant) {
 	begun := time.Now()
 	version, set, err := r.source.DecodeRules(row.Value)
 	if err != nil {
@@ -142,7 +145,7 @@
 	}
 	set = set.ReuseFrom(r.board.Load().Rules)
 	adopted := r.board.SetRules(version, set, at)
-	tellRules(r.log, rulesNews{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
+	recordRules(r.log, learntRules{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
 }
 
 // readTargets brings the registry up to date.
@@ -156,14 +159,14 @@
 	r.targetsNext = next
 	before := r.targets
 	if whole {
-		// Entries that were read earlier and are missing now have been removed.
+		// Entries that were read before and are missing now have been removed.
 		r.targets = map[string]view.Target{}
-		clear(r.older)
+		clear(r.earlierStarts)
 	}
 	for _, row := range rows {
 		r.applyTarget(before, row, begun)
 	}
-	r.believeOlder(begun)
+	r.acceptEarlierStarts(begun)
 	gone, added := r.board.SetTargets(next, byID(r.targets), begun)
 	if len(gone)+len(added) > 0 {
 		r.log("targets-changed", "gone", gone, "added", added, "registry", next)
@@ -171,61 +174,62 @@
 	return nil
 }
 
-// applyTarget takes one row; before holds what was known before this reading.
+// applyTarget applies one row. before holds the entries known before this read.
 func (r *reader) applyTarget(before map[string]view.Target, row store.Row, now clock.Instant) {
-	delete(r.older, row.Key)
+	delete(r.earlierStarts, row.Key)
 	if row.Deleted {
 		delete(r.targets, row.Key)
 		return
 	}
 	t, err := r.source.DecodeTarget(row)
 	if err != nil {
-		r.refuseTarget(row, err)
+		r.rejectTarget(row, err)
 		return
 	}
-	delete(r.refused, row.Key)
-	t = chill(before[row.Key], t, row.Version, now)
-	if known, ok := before[row.Key]; ok && t.Born < known.Born {
-		r.older[row.Key] = olderEntry{t, now}
-		r.targets[row.Key] = known
+	delete(r.rejected, row.Key)
+	t = withColdUntil(before[row.Key], t, row.Version, now)
+	if current, ok := before[row.Key]; ok && t.Born < current.Born {
+		r.earlierStarts[row.Key] = earlierStart{t, now}
+		r.targets[row.Key] = current
 		return
 	}
 	r.targets[row.Key] = t
 }
 
-// sameSpell is how far two entries may differ in when a cold time ends and still tell of the same one:
-// each is read up to a reading's pause after it was written.
-const sameSpell = time.Second
+// sameColdTimeTolerance is the largest difference between the ends of a cold time in two entries
+// that still describe the same cold time: each is read up to a poll interval after it was written.
+const sameColdTimeTolerance = time.Second
 
-// chill notes which cold time an entry tells of, and when that ends, given the entry before it.
-func chill(before, t view.Target, version uint64, now clock.Instant) view.Target {
+// withColdUntil sets when the cold time of an entry began, as a version, and when it ends, given
+// the previous entry of the same row.
+func withColdUntil(before, t view.Target, version uint64, now clock.Instant) view.Target {
 	if t.Cold <= 0 {
 		return t
 	}
 	t.ColdSpell, t.ColdUntil = version, now.Add(t.Cold)
-	if before.ID == t.ID && before.ColdSpell != 0 && t.ColdUntil < before.ColdUntil.Add(sameSpell) {
+	if before.ID == t.ID && before.ColdSpell != 0 && t.ColdUntil < before.ColdUntil.Add(sameColdTimeTolerance) {
 		t.ColdSpell, t.ColdUntil = before.ColdSpell, before.ColdUntil
 	}
 	return t
 }
 
-// refuseTarget leaves out an entry that names no target. What it said before does not hold any
-// more: a target writes its entry again within a heartbeat.
-func (r *reader) refuseTarget(row store.Row, err error) {
+// rejectTarget drops an invalid entry. What the row said before does not hold any more: a target
+// writes its entry again within a heartbeat.
+func (r *reader) rejectTarget(row store.Row, err error) {
 	delete(r.targets, row.Key)
-	if r.refused[row.Key] || len(r.refused) >= mostRefused {
+	if r.rejected[row.Key] || len(r.rejected) >= maxRejectedLogged {
 		return
 	}
-	r.refused[row.Key] = true
+	r.rejected[row.Key] = true
 	r.log("target-refused", "error", err.Error(), "row", row.Version)
 }
 
-// believeOlder takes earlier starts that have been told for long.
-func (r *reader) believeOlder(now clock.Instant) {
-	for key, o := range r.older {
-		if now.Sub(o.since) >= olderFor {
+// acceptEarlierStarts accepts earlier starts that entries have named for long enough.
+func (r *reader) acceptEarlierStarts(now clock.Instant) {
+	for key, o := range r.earlierStarts {
+		if now.Sub(o.since) >= acceptEarlierStartAfter {
 			r.targets[key] = o.target
-			delete(r.older, key)
+			delete(r.earlierStarts, key)
 		}
 	}
 }
@@ -238,8 +242,7 @@
 	return list
 }
 
-// read reads what has changed in a table, or the table as a whole where the changes are not
-// known.
+// read reads the changes of a table, or the whole table if the changes are not available.
 func (r *reader) read(ctx context.Context, table string, after uint64, wait time.Duration) (rows []store.Row, next uint64, whole bool, err error) {
 	if after != 0 {
 		rows, next, err := r.store.Feed(ctx, table, after, wait)
--- a/coordination/lead/reader_test.go
+++ b/coordination/lead/reader_test.go
@@ -18,13 +18,13 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// tableStore is a store of one table, whose rows tests change.
+// tableStore is a store of one table whose rows tests change.
 type tableStore struct {
-	darkStore
-	rows    map[string]string
-	changed []store.Row
-	version uint64
-	gone    bool
+	unavailableStore
+	rows        map[string]string
+	changed     []store.Row
+	version     uint64
+	historyGone bool
 }
 
 func (s *tableStore) put(key, value string) {
@@ -41,8 +41,8 @@
 }
 
 func (s *tableStore) Feed(_ context.Context, _ string, after uint64, _ time.Duration) (rows []store.Row, next uint64, err error) {
-	if s.gone {
-		s.gone = false
+	if s.historyGone {
+		s.historyGone = false
 		return nil, 0, store.ErrHistoryGone
 	}
 	for _, row := range s.changed {
@@ -53,12 +53,12 @@
 	return rows, s.version, nil
 }
 
-// stepClock is a clock that tests set.
-type stepClock struct{ now clock.Instant }
+// manualClock is a clock that tests set.
+type manualClock struct{ now clock.Instant }
 
-func (c *stepClock) Now() clock.Instant { return c.now }
+func (c *manualClock) Now() clock.Instant { return c.now }
 
-// decodeEntry reads "ADDRESS START"; anything else names no target.
+// decodeEntry decodes "ADDRESS START"; anything else is an invalid entry.
 func decodeEntry(row store.Row) (view.Target, error) {
 	address, start, ok := strings.Cut(string(row.Value), " ")
 	born, err := strconv.ParseInt(start, 10, 64)
@@ -70,13 +70,13 @@
 
 var _ = Describe("reading the registry", func() {
 	var (
-		c     *stepClock
+		c     *manualClock
 		s     *tableStore
 		r     *reader
 		lines int
 	)
 
-	// read reads the registry every 400 ms for some time.
+	// read reads the registry every 400 ms for the given time.
 	read := func(length time.Duration) {
 		GinkgoHelper()
 		for end := c.now.Add(length); c.now < end; c.now = c.now.Add(400 * time.Millisecond) {
@@ -84,7 +84,7 @@
 		}
 	}
 
-	known := func() (ids []string) {
+	knownIDs := func() (ids []string) {
 		for id := range r.board.Load().Targets {
 			ids = append(ids, id)
 		}
@@ -92,7 +92,7 @@
 	}
 
 	BeforeEach(func() {
-		c = &stepClock{now: clock.Instant(time.Hour)}
+		c = &manualClock{now: clock.Instant(time.Hour)}
 		s = &tableStore{rows: map[string]string{}}
 		lines = 0
 		source := Source{TargetTable: "targets", DecodeTarget: decodeEntry}
@@ -104,72 +104,71 @@
 		s.put("x", "a1 1000")
 		s.put("y", "a2 1000")
 		read(3 * time.Second)
-		Expect(known()).To(ConsistOf("x@1000", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@1000", "y@1000"))
 	})
 
-	// Symptom: a target that holds nothing is taken for the owner of keys. Sequence: it crashes
-	// and starts again under its name between two readings. Cause: nothing but its name was
-	// looked at.
-	It("tells a target that was started again by its start alone", func() {
+	// Guards against taking a target that holds no keys for their owner: it crashed and started
+	// again under the same name between two reads, and only its name was compared.
+	It("recognizes a restarted target by its start time alone", func() {
 		s.put("x", "a1 2000")
 		read(400 * time.Millisecond)
-		Expect(known()).To(ConsistOf("x@2000", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@2000", "y@1000"))
 	})
 
-	// Symptom: all keys of a target move twice. Sequence: a write of its former process takes
-	// effect after that of the new one, which writes again within a heartbeat. Cause: each
-	// entry was believed at once.
-	It("does not believe an earlier start at once", func() {
+	// Guards against moving all keys of a target twice: a write of its former process takes effect
+	// after that of the new one, which writes again within a heartbeat. Each entry was accepted at
+	// once.
+	It("does not accept an earlier start at once", func() {
 		s.put("x", "a1 2000")
 		read(400 * time.Millisecond)
 		s.put("x", "a1 1000")
 		read(800 * time.Millisecond)
-		Expect(known()).To(ConsistOf("x@2000", "y@1000"))
-		s.gone = true
+		Expect(knownIDs()).To(ConsistOf("x@2000", "y@1000"))
+		s.historyGone = true
 		read(400 * time.Millisecond)
-		Expect(known()).To(ConsistOf("x@2000", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@2000", "y@1000"))
 		s.put("x", "a1 2000")
 		read(4 * time.Second)
-		Expect(known()).To(ConsistOf("x@2000", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@2000", "y@1000"))
 	})
 
-	// Symptom: a target is never sent to again. Sequence: its clock is set back, and it starts
-	// again. Cause: what is said to have started earlier was taken for the past for ever.
-	It("believes an earlier start that goes on being told", func() {
+	// Guards against a target that never gets requests again: its clock was set back before it
+	// started again, and entries with an earlier start were ignored for ever.
+	It("accepts an earlier start that entries keep naming", func() {
 		s.put("x", "a1 500")
 		read(4 * time.Second)
-		Expect(known()).To(ConsistOf("x@500", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@500", "y@1000"))
 	})
 
-	// Symptom: requests go to an address that is no target's, or all targets are lost. Sequence:
-	// others than targets write into the registry. Cause: entries were taken as they came, or
-	// one that could not be read ended the reading.
-	It("leaves out what names no target, tells it once, and keeps the others", func() {
+	// Guards against requests to addresses that are not targets, and against the loss of all
+	// targets, when others write into the registry. An invalid entry must neither be used nor end
+	// the read.
+	It("skips invalid entries, logs each once, and keeps the valid ones", func() {
 		s.put("z", "\xff\x00nothing")
 		s.put("x", "a1")
 		read(4 * time.Second)
 		s.put("z", "a3 1.5")
 		read(2 * time.Second)
-		Expect(known()).To(ConsistOf("y@1000"))
+		Expect(knownIDs()).To(ConsistOf("y@1000"))
 		Expect(lines).To(Equal(2))
 		s.put("x", "a1 1000")
 		read(400 * time.Millisecond)
-		Expect(known()).To(ConsistOf("x@1000", "y@1000"))
+		Expect(knownIDs()).To(ConsistOf("x@1000", "y@1000"))
 	})
 
-	It("tells no more than some entries that name no target", func() {
-		for i := range 2 * mostRefused {
+	It("logs a bounded number of invalid entries", func() {
+		for i := range 2 * maxRejectedLogged {
 			s.put(fmt.Sprintf("foreign-%d", i), "?")
 		}
 		read(400 * time.Millisecond)
-		Expect(lines).To(Equal(mostRefused))
-		Expect(known()).To(HaveLen(2))
+		Expect(lines).To(Equal(maxRejectedLogged))
+		Expect(knownIDs()).To(HaveLen(2))
 	})
 })
 
-// bidStore takes one transaction.
+// bidStore accepts one transaction and records it.
 type bidStore struct {
-	darkStore
+	unavailableStore
 	taken store.Txn
 }
 
@@ -178,14 +177,14 @@
 	return 20, nil
 }
 
-var _ = Describe("an instance that begins to lead", func() {
-	// Symptom: a target takes keys under a fence under which its former process had them.
-	// Sequence: the leading instance and a target end at the same time; the target starts again
-	// under its name; the next leading instance renews what the map says it has.
-	// Cause: the new leading instance has no connection that shows who answers.
-	It("raises all fences along with its lease", func() {
+var _ = Describe("an instance that becomes leader", func() {
+	// Guards against a target that accepts keys under a fence that its former process had. The
+	// leader and a target end at the same time, and the target starts again under its name. The
+	// next leader renews what the map says, and has no earlier connection that would show which
+	// process answers.
+	It("raises all fences in the transaction that takes the lease", func() {
 		s := &bidStore{}
-		c := New(Config{Self: view.Instance{ID: "i1", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, quiet)
+		c := New(Config{Self: view.Instance{ID: "i1", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 		e := keyrange.Empty().Edit()
 		e.Move(0, keyrange.MaxKey, "x@1", false)
 		e.Finish(0, 999)
--- a/coordination/lead/relay.go
+++ b/coordination/lead/relay.go
@@ -15,72 +15,77 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// While nobody leads, a few instances, the relays, read the store and look at the lease, and
-// the others ask them: each call is paid for, and all instances would make them at the same time.
+// While there is no leader, a few instances, the store relays, read the store and the lease, and
+// the other instances ask them. Calls to the store are paid for, and without relays all instances
+// would make them at the same time.
 //
-// Relays decide nothing: what they tell carries its age, and an instance to which none of
-// them answers with something current looks for itself.
+// Relays decide nothing. Their replies carry the age of the information, and an instance that gets
+// no current reply reads the store itself.
 const (
-	// relayCount is the number of relays. With three, one that is cut off or was killed with
-	// the leader leaves two.
-	relayCount = 3
+	// storeRelayCount is the number of store relays. If one of three is cut off, or was killed
+	// together with the leader, two are left.
+	storeRelayCount = 3
 	// relayDuty names the duty in the ranking of instances.
 	relayDuty = "relay"
-	// relayCurrent is the age of a relay's knowledge of the lease from which on it says
-	// nothing: it may be cut off itself.
-	relayCurrent = time.Second
-	// settledAfter is how long a relay must have run before it tells others that targets are
-	// gone: it may have started while the registry lacked some that live.
-	settledAfter = 2500 * time.Millisecond
-	// silentFor is how long a relay that did not answer is not asked again.
-	silentFor = 2 * time.Second
-	// relayTries bounds the relays asked in a row before an instance looks for itself.
-	relayTries = 2
-	// shortestAsk is the time to the next look at the lease below which an instance does not ask
-	// relays any more, and the time in which one that holds questions does not answer.
-	shortestAsk = 100 * time.Millisecond
+	// maxRelayAge is the age of a relay's knowledge of the lease from which on it does not
+	// vouch for its information: it may be cut off itself.
+	maxRelayAge = time.Second
+	// relaySettleTime is how long a relay must have run before it reports targets as gone. It may
+	// have started while the registry did not list some targets that are still running.
+	relaySettleTime = 2500 * time.Millisecond
+	// unresponsiveFor is how long a relay that did not reply is not asked again.
+	unresponsiveFor = 2 * time.Second
+	// maxRelaysAsked bounds the relays that an instance asks in a row before it reads the lease
+	// itself.
+	maxRelaysAsked = 2
+	// minAskTime is the remaining time until the next read of the lease below which an instance
+	// does not ask relays any more. A relay that replies in less time does not hold questions.
+	minAskTime = 100 * time.Millisecond
 )
 
-// duties are who has which duty among the instances that are known.
+// duties lists which of the known instances have which duty, by address.
 type duties struct {
-	version view.InstancesVersion
-	lost    string
-	// relays read for all while nobody leads; tree are the relays of this data centre.
-	relays, tree []string
+	version    view.InstancesVersion
+	lostLeader string
+	// storeRelays read the store for all while there is no leader; treeRelays are the relays of
+	// this data centre.
+	storeRelays, treeRelays []string
 }
 
-// duties returns who has which duty. They are ranked anew when the list of instances has changed, or a
-// leader was lost: they are asked for many times a second.
+// duties returns which instances have which duty. It is called many times a second, so the ranking
+// is cached until the list of instances changes or a leader is lost.
 func (c *Coordinator) duties() duties {
 	s := c.board.Load()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ranked.version != s.InstancesVersion || c.ranked.lost != c.lost {
-		c.ranked = duties{
-			version: s.InstancesVersion, lost: c.lost,
-			relays: rankRelays(s.Instances, c.lost), tree: treeRelays(s.Instances, c.config.Self.DataCentre),
+	if c.cachedDuties.version != s.InstancesVersion || c.cachedDuties.lostLeader != c.lostLeader {
+		c.cachedDuties = duties{
+			version: s.InstancesVersion, lostLeader: c.lostLeader,
+			storeRelays: rankStoreRelays(s.Instances, c.lostLeader), treeRelays: treeRelays(s.Instances, c.config.Self.DataCentre),
 		}
 	}
-	return c.ranked
+	return c.cachedDuties
 }
 
-// relays returns the addresses of the instances that read for all while nobody leads, this
-// one among them if it is one. They are the same for all who know the same instances.
-func (c *Coordinator) relays() []string {
+// storeRelays returns the addresses of the instances that read the store for all while there is no
+// leader, which may include this one. All instances with the same list of instances get the same
+// result.
+func (c *Coordinator) storeRelays() []string {
 	if len(c.board.Load().Instances) == 0 {
 		return c.config.Seeds
 	}
-	return c.duties().relays
+	return c.duties().storeRelays
 }
 
-func rankRelays(list []view.Instance, lost string) []string {
+func rankStoreRelays(list []view.Instance, lost string) []string {
 	present := slices.DeleteFunc(slices.Clone(list), func(i view.Instance) bool { return i.ID == lost })
-	return rank(present, relayDuty, relayCount)
+	return rankInstances(present, relayDuty, storeRelayCount)
 }
 
-// rank returns the addresses of the first instances in the ranking for a duty: large ones before those
-// with half of the largest one's part of a core or less, and by rendezvous hash.
-func rank(list []view.Instance, duty string, count int) []string {
+// rankInstances returns the addresses of the first instances in the ranking for a duty. Instances
+// with more than half of the largest core share rank before the others; within each group the order
+// is that of rendezvous hashing.
+func rankInstances(list []view.Instance, duty string, count int) []string {
 	type ranked struct {
 		address string
 		small   int
@@ -93,7 +98,7 @@
 	var ranking []ranked
 	for _, i := range list {
 		r := ranked{address: i.Address, score: i.Score(duty)}
-		if largerBy*i.Weight <= largest {
+		if muchLargerFactor*i.Weight <= largest {
 			r.small = 1
 		}
 		ranking = append(ranking, r)
@@ -108,117 +113,117 @@
 	return addresses
 }
 
-// isRelay reports whether this instance reads for others while nobody leads. One that knows
-// of no others does.
-func (c *Coordinator) isRelay() bool {
-	relays := c.relays()
+// isStoreRelay reports whether this instance reads the store for others while there is no leader.
+// One that knows of no other instances does.
+func (c *Coordinator) isStoreRelay() bool {
+	relays := c.storeRelays()
 	return len(relays) == 0 || slices.Contains(relays, c.config.Self.Address)
 }
 
-// askRelay asks relays who leads and what is new. It reports whether one answered with
-// something current; otherwise this instance must look for itself. With await a relay may hold
-// the question until it has heard something.
-func (c *Coordinator) askRelay(ctx context.Context, await bool) bool {
-	relays := c.relays()
+// askRelays asks store relays who leads and what has changed. It reports whether one replied with
+// current information; otherwise this instance must read the lease itself. With await a relay may
+// hold the question until its information is current.
+func (c *Coordinator) askRelays(ctx context.Context, await bool) bool {
+	relays := c.storeRelays()
 	if len(relays) == 0 || slices.Contains(relays, c.config.Self.Address) || c.board.CurrentAsOf() == clock.Never {
-		// One that has just started reads for itself: after a loss of power the seeds may be
-		// the last to be back, and callers would wait for them.
+		// An instance that has just started reads the store itself: after a power failure the seeds
+		// may be the last to return, and callers would wait for them.
 		return false
 	}
 	first := int(xxhash.Sum64String(c.config.Self.ID) % uint64(len(relays)))
 	tries := 0
 	for i := range relays {
 		address := relays[(first+i)%len(relays)]
-		if tries == relayTries || !c.mayAnswer(address) {
+		if tries == maxRelaysAsked || !c.isResponsive(address) {
 			continue
 		}
 		tries++
-		if c.ask(ctx, address, await) {
+		if c.askRelay(ctx, address, await) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayAnswer reports whether a relay should be asked.
-func (c *Coordinator) mayAnswer(address string) bool {
+// isResponsive reports whether a relay should be asked: it has not failed to reply recently.
+func (c *Coordinator) isResponsive(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, silent := c.silent[address]
-	return !silent || c.clock.Now().Sub(at) >= silentFor
+	at, failed := c.unresponsive[address]
+	return !failed || c.clock.Now().Sub(at) >= unresponsiveFor
 }
 
-// ask asks one relay.
-func (c *Coordinator) ask(ctx context.Context, address string, await bool) bool {
-	args := c.question()
+// askRelay asks one relay.
+func (c *Coordinator) askRelay(ctx context.Context, address string, await bool) bool {
+	args := c.newSyncArgs()
 	args.AwaitCurrent = await
 	c.mu.Lock()
-	args.Lost = c.lost
+	args.Lost = c.lostLeader
 	c.mu.Unlock()
 	begun := c.clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	reply, err := c.peers.Sync(callCtx, address, args)
 	cancel()
 	if err != nil {
-		c.noteSilent(address, err)
+		c.noteUnresponsive(address, err)
 		return false
 	}
 	c.noteVacated(reply.Vacated, reply.VacatedHeld)
 	if !reply.Leading && !reply.Current {
 		return false
 	}
-	taken := c.adopt(begun, args, reply)
+	taken := c.applyReply(begun, args, reply)
 	c.mu.Lock()
 	c.setLeader(reply.Leader)
 	c.mu.Unlock()
 	if !taken {
-		sleep(ctx, pollEvery/4)
+		sleep(ctx, pollInterval/4)
 	}
 	return true
 }
 
-// askAnybody asks the seeds for whatever they know, when this instance knows nothing and cannot
-// read the store. Without it a process that starts while the store is away serves nobody until
-// the store is back, though all others know enough.
-func (c *Coordinator) askAnybody(ctx context.Context) {
+// askSeeds asks the seeds for anything they know, when this instance has no snapshot and cannot
+// read the store. Without it a process that starts while the store is unavailable would serve
+// nobody until the store is back, although all other instances know enough.
+func (c *Coordinator) askSeeds(ctx context.Context) {
 	for _, address := range c.config.Seeds {
 		if c.board.CurrentAsOf() != clock.Never {
 			return
 		}
-		if address == c.config.Self.Address || !c.mayAnswer(address) {
+		if address == c.config.Self.Address || !c.isResponsive(address) {
 			continue
 		}
-		if err := c.askAll(ctx, address, 0); err != nil && !errors.Is(err, errKnowsNothing) {
-			c.noteSilent(address, err)
+		if err := c.fetchFullState(ctx, address, 0); err != nil && !errors.Is(err, errKnowsNothing) {
+			c.noteUnresponsive(address, err)
 		}
 	}
 }
 
-// noteSilent notes that a relay did not answer.
-func (c *Coordinator) noteSilent(address string, err error) {
+// noteUnresponsive notes that a relay did not reply.
+func (c *Coordinator) noteUnresponsive(address string, err error) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[address] = now
+	c.unresponsive[address] = now
 	c.log("relay-silent", "address", address, "error", err.Error())
 }
 
-// relay answers a question while this instance does not lead. It waits until there is
-// something new: a leader other than the lost one, or anything that the sender lacks.
-func (c *Coordinator) relay(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
+// replyAsRelay replies to a question while this instance does not lead. It waits until there is
+// something new: a leader other than the lost one, or an update for the sender.
+func (c *Coordinator) replyAsRelay(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
 	begun := c.clock.Now()
 	if args.Starting {
-		c.awaitKnown(ctx, args)
-		return c.whatIsKnown(args)
+		c.awaitSnapshot(ctx, args)
+		return c.replyWithSnapshot(args)
 	}
 	if !c.awaitCurrent(ctx, args) {
 		return &peerapi.SyncReply{}
 	}
-	c.awaitLeader(ctx, args)
-	if !c.current(args) {
+	c.awaitLeaderOrUpdate(ctx, args)
+	if !c.isCurrentFor(args) {
 		return &peerapi.SyncReply{}
 	}
-	reply := c.news(args)
+	reply := c.updateFor(args)
 	reply.Held = c.clock.Now().Sub(begun)
 	reply.Current = true
 	c.mu.Lock()
@@ -228,12 +233,12 @@
 	return reply
 }
 
-// whatIsKnown tells what this instance knows, with its age.
-func (c *Coordinator) whatIsKnown(args *peerapi.SyncArgs) *peerapi.SyncReply {
+// replyWithSnapshot replies with this instance's snapshot and its age.
+func (c *Coordinator) replyWithSnapshot(args *peerapi.SyncArgs) *peerapi.SyncReply {
 	if c.board.CurrentAsOf() == clock.Never {
 		return &peerapi.SyncReply{}
 	}
-	reply := c.news(args)
+	reply := c.updateFor(args)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reply.Leader = c.leader
@@ -241,36 +246,36 @@
 	return reply
 }
 
-// current reports whether this instance may speak as a relay to the sender of a question.
-func (c *Coordinator) current(args *peerapi.SyncArgs) bool {
+// isCurrentFor reports whether this instance may reply as a relay to the sender of a question.
+func (c *Coordinator) isCurrentFor(args *peerapi.SyncArgs) bool {
 	now := c.clock.Now()
 	if c.board.CurrentAsOf() == clock.Never {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving || args.TargetsDigest != 0 && now.Sub(c.started) < settledAfter {
+	if c.leaving || args.TargetsDigest != 0 && now.Sub(c.startedAt) < relaySettleTime {
 		return false
 	}
-	follows := c.lastSync != clock.Never && now.Sub(c.lastSync) < relayCurrent
-	looked := c.lookedAt != clock.Never && now.Sub(c.lookedAt) < relayCurrent
+	follows := c.lastSync != clock.Never && now.Sub(c.lastSync) < maxRelayAge
+	looked := c.leaseReadAt != clock.Never && now.Sub(c.leaseReadAt) < maxRelayAge
 	return follows || looked
 }
 
-// awaitCurrent reports whether this instance may speak as a relay to the sender of a question. For
-// one that has nobody else to hear from it waits until it may, or the question's time is over: a
-// relay is the first to notice when the store answers again.
+// awaitCurrent reports whether this instance may reply as a relay to the sender of a question. If
+// the sender asks for it, because no other instance replies to it, awaitCurrent waits until that is
+// so or the question's wait is over: a relay is the first to notice when the store answers again.
 func (c *Coordinator) awaitCurrent(ctx context.Context, args *peerapi.SyncArgs) bool {
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
-		heard, leaving := c.heard, c.leaving
+		heard, leaving := c.becameCurrent, c.leaving
 		c.mu.Unlock()
-		if c.current(args) {
+		if c.isCurrentFor(args) {
 			return true
 		}
-		if !args.AwaitCurrent || leaving || !c.isRelay() {
+		if !args.AwaitCurrent || leaving || !c.isStoreRelay() {
 			return false
 		}
 		select {
@@ -283,22 +288,22 @@
 	}
 }
 
-// awaitLeader waits until there is something to tell the sender of a question, or its time
-// is over.
-func (c *Coordinator) awaitLeader(ctx context.Context, args *peerapi.SyncArgs) {
+// awaitLeaderOrUpdate waits until there is an update for the sender of a question, or its wait is
+// over.
+func (c *Coordinator) awaitLeaderOrUpdate(ctx context.Context, args *peerapi.SyncArgs) {
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Load()
 		c.mu.Lock()
-		leader, known := c.leader, c.leaderKnown
+		leader, found := c.leader, c.leaderFound
 		c.mu.Unlock()
-		if newer(args, snapshot) || tells(leader, args.Lost) {
+		if hasUpdateFor(args, snapshot) || isNewLeader(leader, args.Lost) {
 			return
 		}
 		select {
 		case <-snapshot.Changed:
-		case <-known:
+		case <-found:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -307,7 +312,7 @@
 	}
 }
 
-// tells reports whether a holder of the lease is news to an instance that lost one.
-func tells(leader lease.Row, lost string) bool {
+// isNewLeader reports whether a holder of the lease is known and is not the lost one.
+func isNewLeader(leader lease.Row, lost string) bool {
 	return leader.Address != "" && leader.Holder != lost
 }
--- a/coordination/lead/relay_test.go
+++ b/coordination/lead/relay_test.go
@@ -21,38 +21,38 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// directory carries calls between coordinators of one process, by address.
+// directory carries calls between coordinators in one process, by address.
 type directory map[string]*Coordinator
 
 func (d directory) Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error) {
 	c := d[address]
 	if c == nil {
-		return nil, errors.New("nobody listens")
+		return nil, errors.New("no instance at this address")
 	}
 	return c.Sync(ctx, args), nil
 }
 
-// darkStore counts the calls that it refuses.
-type darkStore struct{ calls atomic.Int64 }
+// unavailableStore refuses all calls and counts them.
+type unavailableStore struct{ calls atomic.Int64 }
 
-func (s *darkStore) Commit(context.Context, store.Txn) (uint64, error) {
+func (s *unavailableStore) Commit(context.Context, store.Txn) (uint64, error) {
 	s.calls.Add(1)
 	return 0, store.ErrNotApplied
 }
 
-func (s *darkStore) Scan(context.Context, string, string) ([]store.Row, uint64, error) {
+func (s *unavailableStore) Scan(context.Context, string, string) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
 	return nil, 0, store.ErrNotApplied
 }
 
-func (s *darkStore) Feed(context.Context, string, uint64, time.Duration) ([]store.Row, uint64, error) {
+func (s *unavailableStore) Feed(context.Context, string, uint64, time.Duration) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
 	return nil, 0, store.ErrNotApplied
 }
 
-// leaseStore holds the row of the lease.
+// leaseStore holds only the lease row.
 type leaseStore struct {
-	darkStore
+	unavailableStore
 	row     lease.Row
 	version uint64
 }
@@ -70,9 +70,9 @@
 	return s.version, nil
 }
 
-// fleet makes coordinators that know one another and some targets.
-func fleet(count int) (list []view.Instance, all directory, s *darkStore) {
-	s = &darkStore{}
+// newFleet returns coordinators that know one another and some targets.
+func newFleet(count int) (list []view.Instance, all directory, s *unavailableStore) {
+	s = &unavailableStore{}
 	all = directory{}
 	for i := range count {
 		list = append(list, view.Instance{ID: fmt.Sprintf("i%02d.1", i), Address: fmt.Sprintf("a%02d", i), Weight: 1})
@@ -81,10 +81,10 @@
 	for _, self := range list {
 		board := view.NewBoard(clock.System{})
 		board.SetInstances(view.InstancesVersion{Term: 1, Count: 1}, list)
-		board.SetTargets(5, targets("x", "y"), now)
+		board.SetTargets(5, makeTargets("x", "y"), now)
 		board.ConfirmRules(0, now)
-		c := New(Config{Self: self}, clock.System{}, s, board, all, nil, demand.NewCollector(), quiet)
-		c.started = now.Add(-time.Minute)
+		c := New(Config{Self: self}, clock.System{}, s, board, all, nil, demand.NewCollector(), discardLog)
+		c.startedAt = now.Add(-time.Minute)
 		all[self.Address] = c
 	}
 	return list, all, s
@@ -93,140 +93,138 @@
 var _ = Describe("the lease of a process that has ended", func() {
 	take := func(holder, address string) *term {
 		s := &leaseStore{row: lease.Row{Holder: holder, Address: address, Term: 3}, version: 9}
-		c := New(Config{Self: view.Instance{ID: "i1.2", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, demand.NewCollector(), quiet)
-		t, err := c.lookAtLease(context.Background(), true)
+		c := New(Config{Self: view.Instance{ID: "i1.2", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, demand.NewCollector(), discardLog)
+		t, err := c.checkLease(context.Background(), true)
 		Expect(err).NotTo(HaveOccurred())
 		return t
 	}
 
-	// Symptom: nobody leads for 2 s after all instances were killed and started again.
-	// Sequence: the former leader starts again, finds its own former lease and waits for it.
-	// Cause: the lease was taken for that of another instance.
-	It("is taken at once by the next process at its address", func() {
+	// Guards against 2 s without a leader after all instances were killed and started again: the
+	// former leader finds its own former lease, and must not wait for it as for that of another
+	// instance.
+	It("is taken at once by the next process at the same address", func() {
 		Expect(take("i1.1", "a1")).NotTo(BeNil())
 	})
 
-	It("is waited for by all others", func() {
+	It("is waited for by all other instances", func() {
 		Expect(take("i2.1", "a2")).To(BeNil())
 	})
 })
 
-var _ = Describe("an instance that starts while the store is away", func() {
-	// Symptom: it serves nobody until the store is back. Sequence: the leading instance is killed
-	// and starts again; the others know rules and targets, and none of them leads. Cause: only a
-	// leader, or a relay that had read the lease a moment ago, told it anything.
-	It("learns from any other what that knows, with its age", func() {
-		_, all, s := fleet(3)
+var _ = Describe("an instance that starts while the store is unavailable", func() {
+	// Guards against an instance that serves nobody until the store is back. The leader is killed
+	// and starts again; the others know rules and targets, but none of them leads. Only a leader,
+	// or a relay that had read the lease recently, replied to it.
+	It("gets the state of any other instance, with its age", func() {
+		_, all, s := newFleet(3)
 		known := all["a00"].board.CurrentAsOf()
-		starts := New(Config{Self: view.Instance{ID: "new", Address: "a09"}, Seeds: []string{"a09", "nobody", "a01"}}, clock.System{}, s, view.NewBoard(clock.System{}), all, nil, demand.NewCollector(), quiet)
+		starting := New(Config{Self: view.Instance{ID: "new", Address: "a09"}, Seeds: []string{"a09", "nobody", "a01"}}, clock.System{}, s, view.NewBoard(clock.System{}), all, nil, demand.NewCollector(), discardLog)
 		set, err := rules.Parse("rules", "")
 		Expect(err).NotTo(HaveOccurred())
 		all["a01"].board.SetRules(3, set, known)
-		starts.askAnybody(context.Background())
-		Expect(starts.board.Load().Targets).To(HaveLen(2))
-		Expect(starts.board.Load().RulesVersion).To(Equal(uint64(3)))
-		Expect(starts.board.Load().Instances).To(HaveLen(3))
-		Expect(starts.board.CurrentAsOf()).To(BeNumerically("~", known, time.Second))
-		Expect(starts.Leader()).To(Equal(lease.Row{}))
+		starting.askSeeds(context.Background())
+		Expect(starting.board.Load().Targets).To(HaveLen(2))
+		Expect(starting.board.Load().RulesVersion).To(Equal(uint64(3)))
+		Expect(starting.board.Load().Instances).To(HaveLen(3))
+		Expect(starting.board.CurrentAsOf()).To(BeNumerically("~", known, time.Second))
+		Expect(starting.Leader()).To(Equal(lease.Row{}))
 	})
 })
 
 var _ = Describe("reading the store", func() {
-	// Symptom: a target gets a request 2.06 s after it left. Sequence: the leading instance is
-	// cut off from the store; a follower to which the store once did not answer goes on
-	// following, without a reading of its own for 2.5 s, and leads next.
-	// Cause: nothing but a look at the lease made it try the store again, and one that follows
-	// does not look.
-	It("is tried again by a follower with old knowledge, also where it failed before", func() {
-		_, all, _ := fleet(5)
+	// Guards against a request to a target 2.06 s after it left. The leader is cut off from the
+	// store. A follower that the store once did not answer goes on following without a read of its
+	// own for 2.5 s, and leads next. Only a read of the lease made it try the store again, and a
+	// follower does not read the lease.
+	It("is tried again by a follower with a stale snapshot even if it failed before", func() {
+		_, all, _ := newFleet(5)
 		for _, c := range all {
 			now := c.clock.Now()
 			c.lastSync = now
-			c.storeOK = false
-			c.failedAt = now
+			c.storeAvailable = false
+			c.storeFailedAt = now
 			c.board = view.NewBoard(c.clock)
-			Expect(c.reads(context.Background())).To(BeFalse())
-			c.failedAt = now.Add(-time.Minute)
-			Expect(c.reads(context.Background())).To(BeTrue())
+			Expect(c.shouldReadStore(context.Background())).To(BeFalse())
+			c.storeFailedAt = now.Add(-time.Minute)
+			Expect(c.shouldReadStore(context.Background())).To(BeTrue())
 		}
 	})
 })
 
 var _ = Describe("relays", func() {
-	It("are the same few for all, without the leader that was lost", func() {
-		list, _, _ := fleet(20)
-		relays := rankRelays(list, "")
-		Expect(relays).To(HaveLen(relayCount))
+	It("are the same few for all instances, without the lost leader", func() {
+		list, _, _ := newFleet(20)
+		relays := rankStoreRelays(list, "")
+		Expect(relays).To(HaveLen(storeRelayCount))
 		var first view.Instance
 		for _, i := range list {
 			if i.Address == relays[0] {
 				first = i
 			}
 		}
-		after := rankRelays(list, first.ID)
-		Expect(after).To(HaveLen(relayCount))
-		Expect(after[:relayCount-1]).To(Equal(relays[1:]))
+		after := rankStoreRelays(list, first.ID)
+		Expect(after).To(HaveLen(storeRelayCount))
+		Expect(after[:storeRelayCount-1]).To(Equal(relays[1:]))
 	})
 
-	It("are the seeds while nobody else is known", func() {
-		c := New(Config{Self: view.Instance{Address: "a"}, Seeds: []string{"b", "c"}}, clock.System{}, nil, view.NewBoard(clock.System{}), nil, nil, nil, quiet)
-		Expect(c.isRelay()).To(BeFalse())
+	It("are the seeds while no other instances are known", func() {
+		c := New(Config{Self: view.Instance{Address: "a"}, Seeds: []string{"b", "c"}}, clock.System{}, nil, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
+		Expect(c.isStoreRelay()).To(BeFalse())
 		c.config.Self.Address = "c"
-		Expect(c.isRelay()).To(BeTrue())
+		Expect(c.isStoreRelay()).To(BeTrue())
 	})
 
-	// Symptom: 250 calls a second to the store while nobody leads.
-	// Sequence: the leader is lost, and each of 20 instances looks at the lease and reads the
-	// tables by itself. Cause: none of them asked another.
+	// Guards against 250 calls a second to the store without a leader: each of 20 instances read
+	// the lease and the tables by itself, and none asked another.
 	It("tell the others who leads, without a call to the store", func() {
-		list, all, s := fleet(20)
-		relays := rankRelays(list, "")
+		list, all, s := newFleet(20)
+		relays := rankStoreRelays(list, "")
 		leader := list[0]
 		for _, address := range relays {
 			c := all[address]
-			c.lookedAt = c.clock.Now()
-			c.lost = "somebody"
+			c.leaseReadAt = c.clock.Now()
+			c.lostLeader = "somebody"
 			c.setLeader(lease.Row{Holder: leader.ID, Address: leader.Address, Term: 2})
 		}
 		asked := 0
 		for _, c := range all {
-			if c.isRelay() {
+			if c.isStoreRelay() {
 				continue
 			}
 			asked++
-			Expect(c.askRelay(context.Background(), false)).To(BeTrue())
+			Expect(c.askRelays(context.Background(), false)).To(BeTrue())
 			Expect(c.Leader().Holder).To(Equal(leader.ID))
 		}
-		Expect(asked).To(Equal(len(list) - relayCount))
+		Expect(asked).To(Equal(len(list) - storeRelayCount))
 		Expect(s.calls.Load()).To(BeZero())
 	})
 
-	It("say nothing when they have not heard of the lease lately", func() {
-		list, all, _ := fleet(20)
+	It("do not vouch for what they know when they have not read the lease recently", func() {
+		list, all, _ := newFleet(20)
 		for _, c := range all {
-			if !c.isRelay() {
-				Expect(c.askRelay(context.Background(), false)).To(BeFalse())
+			if !c.isStoreRelay() {
+				Expect(c.askRelays(context.Background(), false)).To(BeFalse())
 				break
 			}
 		}
 		Expect(all[list[0].Address].Leader().Address).To(BeEmpty())
 	})
 
-	// Symptom: instances go on asking a leader that is gone, and never hear of the next one.
-	// Cause: the relay had not noticed yet either, and named the one that was lost.
+	// Guards against instances that keep asking a leader that is gone and never learn of the next
+	// one, because the relay has not noticed the loss yet and names the same leader.
 	It("wait for a leader other than the lost one", func() {
-		list, all, _ := fleet(20)
-		relay := all[rankRelays(list, "")[0]]
-		relay.lookedAt = relay.clock.Now()
+		list, all, _ := newFleet(20)
+		relay := all[rankStoreRelays(list, "")[0]]
+		relay.leaseReadAt = relay.clock.Now()
 		relay.setLeader(lease.Row{Holder: "gone", Address: "nowhere"})
 		go func() {
 			time.Sleep(20 * time.Millisecond)
 			relay.mu.Lock()
 			defer relay.mu.Unlock()
-			relay.lost = "gone"
+			relay.lostLeader = "gone"
 			relay.setLeader(lease.Row{Holder: "next", Address: "a00"})
 		}()
-		args := relay.question()
+		args := relay.newSyncArgs()
 		args.Lost = "gone"
 		args.Wait = 10 * time.Second
 		reply := relay.Sync(context.Background(), args)
@@ -234,29 +232,27 @@
 		Expect(reply.Leader.Holder).To(Equal("next"))
 	})
 
-	// Symptom: targets that live get nothing. Sequence: the registry lacks them while the store
-	// comes back; an instance that has just started reads it and is asked by others.
-	It("tell nobody that targets are gone right after their own start", func() {
-		list, all, _ := fleet(20)
-		relay := all[rankRelays(list, "")[0]]
-		relay.lookedAt = relay.clock.Now()
-		relay.started = relay.clock.Now()
+	// Guards against live targets that get no requests: the registry does not list them while the
+	// store comes back, and an instance that has just started reads it and replies to others.
+	It("do not report targets as gone right after their own start", func() {
+		list, all, _ := newFleet(20)
+		relay := all[rankStoreRelays(list, "")[0]]
+		relay.leaseReadAt = relay.clock.Now()
+		relay.startedAt = relay.clock.Now()
 		Expect(relay.Sync(context.Background(), &peerapi.SyncArgs{TargetsDigest: 7}).Current).To(BeFalse())
 		Expect(relay.Sync(context.Background(), &peerapi.SyncArgs{}).Current).To(BeTrue())
 	})
 })
 
 var _ = Describe("instances that wait for the store", func() {
-	// Symptom: 3.1 s after the store was back, with a change that it had just acknowledged, one of
-	// 89 instances still decides requests by the configuration before.
-	// Sequence: the store is silent for eight seconds. Each instance looks at it again after
-	// pauses that have grown to two seconds, and a look that began before it was back hangs for
-	// another 1.2 s. The relays hear it at once.
-	// Cause: a relay that could not say anything current said so at once, and whoever had asked
-	// slept until its own next look.
+	// Guards against requests decided by the former configuration 3.1 s after the store was back
+	// and had acknowledged a new one. The store did not answer for 8 s. Each instance read the
+	// lease again after pauses of up to 2 s, and a read that began before the store was back timed
+	// out only after another 1.2 s. Relays noticed at once, but replied at once that they had no
+	// current information, and the instance that had asked then slept until its own next read.
 	It("hear from a relay at once when it is back", func() {
-		list, all, _ := fleet(60)
-		relays := rankRelays(list, "")
+		list, all, _ := newFleet(60)
+		relays := rankStoreRelays(list, "")
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		DeferCleanup(func() {
@@ -270,7 +266,7 @@
 				running.Go(func() { c.follow(ctx) })
 			}
 		}
-		// Until the pauses have grown to the longest.
+		// Wait until the pauses have grown to the longest.
 		time.Sleep(3 * time.Second)
 		set, err := rules.Parse("rules", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -278,7 +274,7 @@
 			c := all[address]
 			c.board.SetRules(2, set, c.clock.Now())
 			c.mu.Lock()
-			c.looked(c.clock.Now())
+			c.noteLeaseRead(c.clock.Now())
 			c.mu.Unlock()
 		}
 		for _, c := range waiting {
--- a/coordination/lead/returned_test.go
+++ b/coordination/lead/restore_test.go
@@ -17,13 +17,13 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-var _ = Describe("a store that came back from a copy", func() {
+var _ = Describe("a store that was restored from a copy", func() {
 	var (
-		now *stepClock
+		now *manualClock
 		s   *memoryStore
 		c   *Coordinator
 	)
-	// mapOf returns a map in which one target has all keys, after some changes.
+	// mapOf returns a map in which one target owns all keys, after the given number of changes.
 	mapOf := func(owner string, changes int) *keyrange.Map {
 		m := keyrange.Empty()
 		for range changes {
@@ -34,8 +34,9 @@
 		}
 		return m
 	}
-	// comeBack has the store hold a lease's row and a map of the first era, in a later one.
-	comeBack := func(era uint64, row lease.Row, m *keyrange.Map) {
+	// restoreStore replaces the store's content by a lease row and a map of the first era, in a
+	// later era.
+	restoreStore := func(era uint64, row lease.Row, m *keyrange.Map) {
 		GinkgoHelper()
 		s.version = store.VersionOf(era, 4)
 		s.rows = map[store.ID]store.Row{}
@@ -46,54 +47,54 @@
 			s.rows[id] = store.Row{ID: id, Value: text, Version: s.version}
 		}
 		text, err := m.Encode()
-		write(mapKey+"s", text, err)
+		write(mapKeyPrefix+"s", text, err)
 		if row.Term != 0 {
 			text, err = row.Encode()
 			write(leaseKey, text, err)
 		}
 	}
-	look := func() *term {
+	checkLease := func() *term {
 		GinkgoHelper()
-		t, err := c.lookAtLease(context.Background(), true)
+		t, err := c.checkLease(context.Background(), true)
 		Expect(err).NotTo(HaveOccurred())
 		return t
 	}
 
 	BeforeEach(func() {
-		now = &stepClock{now: clock.Instant(time.Hour)}
+		now = &manualClock{now: clock.Instant(time.Hour)}
 		s = &memoryStore{}
 		config := Config{Self: view.Instance{ID: "i1.2", Address: "a1", Weight: 1}, HoldMax: 10 * time.Second}
-		c = New(config, now, s, view.NewBoard(now), nil, noOrders{}, demand.NewCollector(), quiet)
+		c = New(config, now, s, view.NewBoard(now), nil, noOrders{}, demand.NewCollector(), discardLog)
 		c.observer.Observe(store.VersionOf(1, 9), false, now.now)
-		c.heardLeader = true
+		c.heardFromLeader = true
 	})
 
-	DescribeTable("frees the lease by nothing that its row says but by a whole lease without a change", func(row lease.Row) {
-		comeBack(2, row, mapOf("x", 3))
+	DescribeTable("frees the lease only after a whole lease duration without a change, whatever its row says", func(row lease.Row) {
+		restoreStore(2, row, mapOf("x", 3))
 		now.now = now.now.Add(time.Minute)
-		Expect(look()).To(BeNil())
+		Expect(checkLease()).To(BeNil())
 		now.now = now.now.Add(lease.Duration)
-		Expect(look()).To(BeNil())
+		Expect(checkLease()).To(BeNil())
 		now.now = now.now.Add(lease.Duration / 10)
-		Expect(look()).NotTo(BeNil())
+		Expect(checkLease()).NotTo(BeNil())
 	},
 		Entry("given up, and taken since", lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Vacant: true, Era: 1}),
-		Entry("held by a former process at the address, and taken since", lease.Row{Holder: "i1.1", Address: "a1", Term: 3, Era: 1}),
-		Entry("held by this process itself, and taken since", lease.Row{Holder: "i1.2", Address: "a1", Term: 3, Era: 1}),
-		Entry("held by another one", lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}),
+		Entry("held by a former process at the same address, and taken since", lease.Row{Holder: "i1.1", Address: "a1", Term: 3, Era: 1}),
+		Entry("held by this process, and taken since", lease.Row{Holder: "i1.2", Address: "a1", Term: 3, Era: 1}),
+		Entry("held by another instance", lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}),
 		Entry("taken for the first time since", lease.Row{}),
 	)
 
-	It("is led on by the one that led, with the maps that it knows and fences above all (guards against owners of before)", func() {
+	It("lets the former leader resume with its own maps and higher fences (guards against former owners)", func() {
 		row := lease.Row{Holder: "i1.2", Address: "a1", Term: 7, Era: 1}
 		newest := mapOf("y", 8)
-		t := c.begin(&stored{era: 1, lease: row, leaseVersion: store.VersionOf(1, 9), maps: map[string]*keyrange.Map{"s": newest}}, now.now)
-		c.board.SetTargets(store.VersionOf(2, 5), targets("y"), now.now)
+		t := c.beginTerm(&stored{era: 1, lease: row, leaseVersion: store.VersionOf(1, 9), maps: map[string]*keyrange.Map{"s": newest}}, now.now)
+		c.board.SetTargets(store.VersionOf(2, 5), makeTargets("y"), now.now)
 		t.tick(context.Background())
 		Expect(t.ended).To(BeTrue())
 		c.term = nil
-		comeBack(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 6, Era: 1}, mapOf("x", 3))
-		next := look()
+		restoreStore(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 6, Era: 1}, mapOf("x", 3))
+		next := checkLease()
 		Expect(next).NotTo(BeNil())
 		Expect(next.stored.lease.Term).To(BeNumerically(">", row.Term))
 		r := c.board.Load().Maps["s"].Find(0)
@@ -102,53 +103,53 @@
 		Expect(s.rows).To(HaveKey(eraRow(2)))
 	})
 
-	It("is not led on by one whose lease ran out meanwhile (guards against another one that leads)", func() {
+	It("does not let a former leader resume after its lease has expired (guards against two leaders)", func() {
 		row := lease.Row{Holder: "i1.2", Address: "a1", Term: 7, Era: 1}
-		t := c.begin(&stored{era: 1, lease: row, maps: map[string]*keyrange.Map{"s": mapOf("y", 8)}}, now.now)
-		t.noteReturned(now.now)
+		t := c.beginTerm(&stored{era: 1, lease: row, maps: map[string]*keyrange.Map{"s": mapOf("y", 8)}}, now.now)
+		t.endAfterRestore(now.now)
 		c.term = nil
 		now.now = now.now.Add(lease.Duration)
-		comeBack(2, row, mapOf("x", 3))
-		Expect(look()).To(BeNil())
+		restoreStore(2, row, mapOf("x", 3))
+		Expect(checkLease()).To(BeNil())
 	})
 
-	It("has its owners of before taken by nobody who knows no newer ones, until all holds have run out", func() {
-		c.heardLeader = false
-		comeBack(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}, mapOf("x", 3))
-		Expect(look()).To(BeNil())
+	It("does not let an instance lead with the restored owners until all grants have expired, unless a leader has replied to it", func() {
+		c.heardFromLeader = false
+		restoreStore(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}, mapOf("x", 3))
+		Expect(checkLease()).To(BeNil())
 		now.now = now.now.Add(assign.GrantLifetime(10*time.Second) - time.Millisecond)
-		Expect(look()).To(BeNil())
+		Expect(checkLease()).To(BeNil())
 		now.now = now.now.Add(2 * time.Millisecond)
-		Expect(look()).NotTo(BeNil())
+		Expect(checkLease()).NotTo(BeNil())
 	})
 
-	It("has the maps that others have told go before its own", func() {
+	It("has its maps replaced by newer ones from other instances", func() {
 		c.board.SetMap("s", mapOf("y", 8))
-		comeBack(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}, mapOf("x", 3))
-		look()
+		restoreStore(2, lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}, mapOf("x", 3))
+		checkLease()
 		now.now = now.now.Add(time.Minute)
-		Expect(look()).NotTo(BeNil())
+		Expect(checkLease()).NotTo(BeNil())
 		Expect(c.board.Load().Maps["s"].Find(0).Owner).To(Equal("y"))
 	})
 
-	It("takes no change of a former era (guards against a condition that is true by chance)", func() {
+	It("refuses changes of a former era (guards against a condition that holds by chance)", func() {
 		row := lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}
 		late := &term{stored: &stored{era: 1, lease: row, leaseVersion: store.VersionOf(2, 4)}}
-		comeBack(2, row, mapOf("x", 3))
-		txn, err := late.txn(nil, row)
+		restoreStore(2, row, mapOf("x", 3))
+		txn, err := late.newTxn(nil, row)
 		Expect(err).NotTo(HaveOccurred())
-		look()
+		checkLease()
 		now.now = now.now.Add(time.Minute)
-		Expect(look()).NotTo(BeNil())
+		Expect(checkLease()).NotTo(BeNil())
 		txn.Expect[0].Version = s.rows[txn.Expect[0].ID].Version
 		_, err = s.Commit(context.Background(), txn)
 		Expect(err).To(MatchError(store.ErrConflict))
 	})
 
-	It("has evacuations go on until it has all of them again", func() {
+	It("keeps evacuations in force until they have been written again", func() {
 		rows := &tableStore{rows: map[string]string{}, version: store.VersionOf(1, 5)}
-		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuates}
-		r := newReader(now, rows, source, view.NewBoard(now), quiet)
+		source := Source{IsRules: func(store.Row) bool { return false }, EvacuatedDataCentre: evacuatedDataCentre}
+		r := newReader(now, rows, source, view.NewBoard(now), discardLog)
 		read := func() string {
 			_, err := r.readRules(context.Background(), 0)
 			Expect(err).NotTo(HaveOccurred())
@@ -157,7 +158,7 @@
 		rows.put("evacuate/dc1", "{}")
 		rows.put("evacuate/dc2", "{}")
 		Expect(read()).To(Equal("dc1 dc2"))
-		rows.rows, rows.changed, rows.gone, rows.version = map[string]string{}, nil, true, store.VersionOf(2, 3)
+		rows.rows, rows.changed, rows.historyGone, rows.version = map[string]string{}, nil, true, store.VersionOf(2, 3)
 		Expect(read()).To(Equal("dc1 dc2"))
 		rows.put("evacuate/dc1", "{}")
 		rows.put("evacuate/dc3", "{}")
--- a/coordination/lead/rules.go
+++ b/coordination/lead/rules.go
@@ -12,70 +12,70 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// rememberedRules is how many versions of the rules are remembered, so that others are told what has
-// changed since the one that they have. Versions share the rules that stay; what each has of its
-// own, its index, takes half a megabyte for 4,200 rules.
-const rememberedRules = 6
-
-// rulesTold remembers versions of the rules, and what was told of them. The lock of told guards
-// it.
-type rulesTold struct {
-	// versions are the oldest first.
-	versions []rulesVersion
-	// encoded are changes to the newest one, by the version that they start from. Followers
-	// mostly start from the same one.
+// rulesHistoryLength is how many versions of the rules are recorded, so that replies can contain
+// only the changes since the version that a follower has. Versions share unchanged rules; the index
+// that each has of its own takes half a megabyte for 4,200 rules.
+const rulesHistoryLength = 6
+
+// rulesHistory records versions of the rules and caches the encoded changes between them. The lock
+// of history guards it.
+type rulesHistory struct {
+	// versions are ordered from the oldest to the newest.
+	versions []rulesEntry
+	// encoded caches the changes to the newest version, by the version that they start from. Most
+	// followers start from the same one.
 	encoded map[uint64][]byte
 }
 
-type rulesVersion struct {
+type rulesEntry struct {
 	version uint64
 	set     *rules.Set
 }
 
-func (t *rulesTold) remember(s *view.Snapshot) {
-	if n := len(t.versions); s.Rules == nil || n > 0 && t.versions[n-1].version >= s.RulesVersion {
+func (h *rulesHistory) record(s *view.Snapshot) {
+	if n := len(h.versions); s.Rules == nil || n > 0 && h.versions[n-1].version >= s.RulesVersion {
 		return
 	}
-	t.versions = append(t.versions, rulesVersion{s.RulesVersion, s.Rules})
-	t.versions = t.versions[max(0, len(t.versions)-rememberedRules):]
-	t.encoded = map[uint64][]byte{}
+	h.versions = append(h.versions, rulesEntry{s.RulesVersion, s.Rules})
+	h.versions = h.versions[max(0, len(h.versions)-rulesHistoryLength):]
+	h.encoded = map[uint64][]byte{}
 }
 
-// changes puts into a reply what has changed among the rules since a version; all of them, if
-// that is not remembered.
-func (t *rulesTold) changes(reply *peerapi.SyncReply, since uint64) error {
-	newest := t.versions[len(t.versions)-1]
+// addChanges adds the changes of the rules since a version to a reply; all rules if that version is
+// not recorded.
+func (h *rulesHistory) addChanges(reply *peerapi.SyncReply, since uint64) error {
+	newest := h.versions[len(h.versions)-1]
 	var former *rules.Set
-	for _, v := range t.versions {
+	for _, v := range h.versions {
 		if v.version == since {
 			former = v.set
 			reply.RulesFrom = since
 		}
 	}
 	reply.RulesVersion = newest.version
-	text, known := t.encoded[reply.RulesFrom]
-	if !known {
+	text, cached := h.encoded[reply.RulesFrom]
+	if !cached {
 		var err error
 		if text, err = newest.set.ChangesFrom(former).Encode(); err != nil {
 			return err
 		}
-		t.encoded[reply.RulesFrom] = text
+		h.encoded[reply.RulesFrom] = text
 	}
 	reply.RulesChanges = text
 	return nil
 }
 
-// rulesSince puts into a reply what has changed among the rules since a version.
-func (t *told) rulesSince(reply *peerapi.SyncReply, since uint64) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.rules.changes(reply, since)
+// addRules adds the changes of the rules since a version to a reply.
+func (h *history) addRules(reply *peerapi.SyncReply, since uint64) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.rules.addChanges(reply, since)
 }
 
-// adoptRules takes over the rules that another instance told. The error says that they were not
-// taken: the next report asks for all of them.
-func (c *Coordinator) adoptRules(reply *peerapi.SyncReply, at clock.Instant) error {
-	err := c.applyChanges(reply, at)
+// applyRules applies the rules of a reply. After an error, nothing was applied, and the next report
+// asks for all rules.
+func (c *Coordinator) applyRules(reply *peerapi.SyncReply, at clock.Instant) error {
+	err := c.applyRulesChanges(reply, at)
 	c.mu.Lock()
 	c.rulesRefused = err != nil
 	c.mu.Unlock()
@@ -85,7 +85,7 @@
 	return err
 }
 
-func (c *Coordinator) applyChanges(reply *peerapi.SyncReply, at clock.Instant) error {
+func (c *Coordinator) applyRulesChanges(reply *peerapi.SyncReply, at clock.Instant) error {
 	begun := time.Now()
 	s := c.board.Load()
 	if reply.RulesChanges == nil || s.RulesVersion >= reply.RulesVersion {
@@ -97,7 +97,7 @@
 		former = nil
 	case s.RulesVersion:
 	default:
-		// Another version was read here since the report; the next one says so.
+		// Another version was read here since the report; the next report names it.
 		return nil
 	}
 	changes, err := rules.DecodeChanges(reply.RulesChanges)
@@ -109,18 +109,18 @@
 		return err
 	}
 	adopted := c.board.SetRules(reply.RulesVersion, set, at)
-	tellRules(c.log, rulesNews{reply.RulesVersion, set, fromLeader, len(reply.RulesChanges), time.Since(begun)}, adopted, c.clock.Now().Sub(at))
+	recordRules(c.log, learntRules{reply.RulesVersion, set, fromLeader, len(reply.RulesChanges), time.Since(begun)}, adopted, c.clock.Now().Sub(at))
 	return nil
 }
 
-// Where rules come from, as log lines and metrics name it.
+// Sources of rules, as log lines and metrics name them.
 const (
 	fromStore  = "store"
 	fromLeader = "leader"
 )
 
-// rulesNews is a version of the rules, and what it took to learn it.
-type rulesNews struct {
+// learntRules is a version of the rules, with its source and the cost of decoding it.
+type learntRules struct {
 	version uint64
 	set     *rules.Set
 	from    string
@@ -128,9 +128,9 @@
 	took    time.Duration
 }
 
-// tellRules tells operators of rules that were learnt, also of those in force already: an
-// instance that works on each version twice is late with both.
-func tellRules(log Log, n rulesNews, adopted bool, age time.Duration) {
+// recordRules reports a decoded version of the rules in metrics and in the log, also if it was
+// already in force: an instance that decodes each version twice is late with both.
+func recordRules(log Log, n learntRules, adopted bool, age time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_rules_decoded_total{from=%q,adopted="%t"}`, n.from, adopted)).Inc()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_rules_bytes_total{from=%q}`, n.from)).Add(n.bytes)
 	metrics.GetOrCreateHistogram("lycheehall_rules_decode_seconds").Update(n.took.Seconds())
@@ -140,21 +140,21 @@
 	}
 	log(event, "rules", n.version, "from", n.from, "age_ms", age.Milliseconds(), "decode_ms", n.took.Milliseconds(), "bytes", n.bytes)
 	if adopted {
-		tellNotes(log, n.version, n.set)
+		recordWarnings(log, n.version, n.set)
 	}
 }
 
-// toldNotes bounds the lines about one configuration.
-const toldNotes = 8
+// maxLoggedWarnings bounds the log lines about one version of the rules.
+const maxLoggedWarnings = 8
 
 var rulesNotUnderstood = metrics.GetOrCreateGauge("lycheehall_rules_not_understood", nil)
 
-// tellNotes tells operators what of a configuration in force was not understood. The callers
-// concerned see no more than refusals.
-func tellNotes(log Log, version uint64, set *rules.Set) {
+// recordWarnings logs the rules that were not understood. Callers whose requests they decide only
+// see refusals.
+func recordWarnings(log Log, version uint64, set *rules.Set) {
 	notes := set.Warnings()
 	rulesNotUnderstood.Set(float64(len(notes)))
-	for _, note := range notes[:min(toldNotes, len(notes))] {
+	for _, note := range notes[:min(maxLoggedWarnings, len(notes))] {
 		log("rule-not-understood", "rules", version, "of", len(notes), "mistake", note.String())
 	}
 }
--- a/coordination/lead/rules_test.go
+++ b/coordination/lead/rules_test.go
@@ -20,14 +20,14 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// writtenRules is a configuration as the store of these tests holds it.
+// writtenRules is the stored form of a configuration in these tests.
 type writtenRules struct {
 	Version uint64
 	Weight  int
 	Rules   []rules.Rule
 }
 
-// rulesStore holds a configuration, and counts what is done with it.
+// rulesStore holds a configuration, and counts scans and decodings.
 type rulesStore struct {
 	tableStore
 	scans, decodes int
@@ -58,7 +58,8 @@
 	}
 }
 
-// write puts a configuration with many rules into the store; weight is that of the first.
+// write stores a configuration with the given number of rules after the first; weight is a weight
+// in the first rule.
 func (s *rulesStore) write(version uint64, count, weight int) {
 	GinkgoHelper()
 	w := writtenRules{Version: version, Rules: []rules.Rule{{
@@ -76,10 +77,10 @@
 }
 
 func (s *rulesStore) coordinator() *Coordinator {
-	return New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, quiet)
+	return New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 }
 
-// sizeOf returns how many bytes a reply has on the network.
+// sizeOf returns the encoded size of a reply in bytes.
 func sizeOf(reply *peerapi.SyncReply) int {
 	GinkgoHelper()
 	var b bytes.Buffer
@@ -109,30 +110,25 @@
 		leader, follower = s.coordinator(), s.coordinator()
 		s.write(1, count, 50)
 		read(leader)
-		tell(leader, follower)
+		syncOnce(leader, follower)
 	})
 
-	// Symptom: a change of one weight comes into force 2.9 s late on small links, and the
-	// leading instance of 61 sends 30 MB for two changes.
-	// Sequence: the operators change one of 4,200 routes; all others are told all of them.
-	// Cause: a configuration was passed on as the store holds it, whatever the other had.
-	// Evidence: bytes sent grew with versions, instances and the size of the configuration.
-	It("is told by what has changed", func() {
+	// Guards against sending the whole configuration for each change. When one of 4,200 routes
+	// changed, all instances received all of them: the leader of 61 instances sent 30 MB for two
+	// changes, and small links got the change 2.9 s late.
+	It("is sent as the changes since the follower's version", func() {
 		s.write(2, count, 60)
 		read(leader)
-		Expect(sizeOf(tell(leader, follower))).To(BeNumerically("<", 4<<10))
+		Expect(sizeOf(syncOnce(leader, follower))).To(BeNumerically("<", 4<<10))
 		Expect(follower.board.Load().RulesVersion).To(Equal(uint64(2)))
 		Expect(weight(follower)).To(Equal(60))
 	})
 
-	// Symptom: all small instances read the store while the configuration changes, and come
-	// into force even later. Sequence: an instance hears of a version from the leading one and
-	// is busy with it; what it knows grows older than 1.2 s; it reads the store.
-	// Cause: a reading began with the whole table and decoded what it found, also the version
-	// that was in force.
-	// Evidence: calls to the store by each small instance, and by none at other times; one
-	// adoption for two decodings.
-	It("is not read again by an instance that was told it", func() {
+	// Guards against reads of the store by all small instances whenever the configuration changes.
+	// A follower is busy decoding a version that it has received; its snapshot becomes older than
+	// 1.2 s; it reads the store. That read started with the whole table and decoded the version in
+	// force again, which delayed the change even more.
+	It("is not read again by an instance that has received it", func() {
 		decodes, scans := s.decodes, s.scans
 		read(follower)
 		Expect(s.decodes).To(Equal(decodes))
@@ -141,7 +137,7 @@
 	})
 })
 
-// waitingStore answers a feed when there is a change, or its time to wait is over.
+// waitingStore answers a feed when there is a change or the feed's wait is over.
 type waitingStore struct {
 	mu sync.Mutex
 	rulesStore
@@ -165,17 +161,17 @@
 }
 
 var _ = Describe("an instance that reads the configuration for others", func() {
-	// Symptom: some followers read the store whenever the configuration changes, and decode what
-	// they are told a moment later. Sequence: a change ends a feed that has waited for half a
-	// second; what was read counts as known since the feed began, and the next feed waits for
-	// 0.6 s. Cause: together that is nearly the 1.2 s from which on a follower reads itself.
-	It("knows it as of a moment ago, also after a change", func() {
+	// Guards against followers that read the store whenever the configuration changes, and decode
+	// what they receive a moment later. If a change ends a feed after half a second, the result
+	// counts as current since the feed began. If the next feed then waits for 0.6 s, the snapshot
+	// is almost 1.2 s old, from which on followers read the store themselves.
+	It("has a fresh snapshot, also after a change", func() {
 		s := &waitingStore{rulesStore: *newRulesStore()}
 		s.write(1, 1, 50)
-		c := New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, quiet)
+		c := New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 		ctx, cancel := context.WithCancel(context.Background())
 		var reading sync.WaitGroup
-		reading.Go(func() { c.readRules(ctx) })
+		reading.Go(func() { c.pollRules(ctx) })
 		DeferCleanup(func() {
 			cancel()
 			reading.Wait()
@@ -187,41 +183,41 @@
 		}
 		Eventually(age, "2s", "1ms").Should(BeNumerically("<", time.Second))
 		for change := range 4 {
-			// Late in the wait of a feed.
-			Eventually(age, "2s", "1ms").Should(BeNumerically(">", rulesWait*5/6))
+			// Make the change late in the wait of a feed.
+			Eventually(age, "2s", "1ms").Should(BeNumerically(">", rulesFeedWait*5/6))
 			s.mu.Lock()
 			s.write(uint64(2+change), 1, 60)
 			s.mu.Unlock()
 			Eventually(func() uint64 { return c.board.Load().RulesVersion }, "2s", "1ms").Should(Equal(uint64(2 + change)))
-			Consistently(age, "1s", "5ms").Should(BeNumerically("<", rulesWait+350*time.Millisecond))
+			Consistently(age, "1s", "5ms").Should(BeNumerically("<", rulesFeedWait+350*time.Millisecond))
 		}
 	})
 })
 
-// silentStore does not answer while it is silent, and counts what waits for it.
-type silentStore struct {
+// hangingStore does not answer while hangs is set, and counts the calls that wait for it.
+type hangingStore struct {
 	waitingStore
-	silent  atomic.Bool
+	hangs   atomic.Bool
 	waiting atomic.Int64
 }
 
-func (s *silentStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]store.Row, uint64, error) {
+func (s *hangingStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]store.Row, uint64, error) {
 	if err := s.hang(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.waitingStore.Feed(ctx, table, after, wait)
 }
 
-func (s *silentStore) Scan(ctx context.Context, table, part string) ([]store.Row, uint64, error) {
+func (s *hangingStore) Scan(ctx context.Context, table, part string) ([]store.Row, uint64, error) {
 	if err := s.hang(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.waitingStore.Scan(ctx, table, part)
 }
 
-// hang never returns to a call that came while the store was silent, until that is given up.
-func (s *silentStore) hang(ctx context.Context) error {
-	if !s.silent.Load() {
+// hang blocks a call that arrives while hangs is set until its context is done.
+func (s *hangingStore) hang(ctx context.Context) error {
+	if !s.hangs.Load() {
 		return nil
 	}
 	s.waiting.Add(1)
@@ -230,28 +226,28 @@
 	return store.ErrOutcomeUnknown
 }
 
-var _ = Describe("a reading that hangs", func() {
-	// Symptom: a change that was acknowledged when the store was back after some seconds is known
-	// nowhere for another 1.6 s. Sequence: the store is silent; an instance hears that it is back
-	// and leads; its reading of the configuration began a moment before and waits for an answer
-	// that will not come. Cause: each call had only its own time limit, whatever others had shown.
-	It("is begun anew when another call shows that the store is back", func() {
-		s := &silentStore{waitingStore: waitingStore{rulesStore: *newRulesStore()}}
+var _ = Describe("a read that hangs", func() {
+	// Guards against a change that the store acknowledged after an outage and that no instance
+	// knows for another 1.6 s. An instance hears that the store is back and leads, but its read of
+	// the configuration began during the outage, will not be answered, and was ended only by its
+	// own timeout.
+	It("is repeated when another call shows that the store is back", func() {
+		s := &hangingStore{waitingStore: waitingStore{rulesStore: *newRulesStore()}}
 		s.write(1, 1, 50)
-		s.silent.Store(true)
-		c := New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, quiet)
+		s.hangs.Store(true)
+		c := New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 		ctx, cancel := context.WithCancel(context.Background())
 		var reading sync.WaitGroup
 		DeferCleanup(func() {
 			cancel()
 			reading.Wait()
 		})
-		c.noteStore(ctx, store.ErrOutcomeUnknown)
-		c.lostAt = c.lostAt.Add(-shortOutage)
-		reading.Go(func() { c.readRules(ctx) })
+		c.noteStoreResult(ctx, store.ErrOutcomeUnknown)
+		c.storeLostAt = c.storeLostAt.Add(-minOutage)
+		reading.Go(func() { c.pollRules(ctx) })
 		Eventually(s.waiting.Load, "2s", "5ms").Should(BeEquivalentTo(1))
-		s.silent.Store(false)
-		c.noteStore(ctx, nil)
+		s.hangs.Store(false)
+		c.noteStoreResult(ctx, nil)
 		Eventually(func() uint64 { return c.board.Load().RulesVersion }, "500ms", "5ms").Should(Equal(uint64(1)))
 	})
 })
--- a/coordination/lead/start.go
+++ b/coordination/lead/start.go
@@ -12,57 +12,61 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// Where no instance has ever led no caller is served yet. If each instance then read the
-// configuration and the registry by itself and bid for the lease, each would make several calls, which are
-// paid for, and be sent the whole of both. So all but the seeds wait for a seed to tell them.
+// Until an instance has led for the first time, no callers are served yet. If each instance then
+// read the configuration and the registry itself and bid for the lease, each would make several
+// calls, which are paid for, and would receive all of both. So all instances but the seeds wait
+// until a seed sends them its state.
 //
-// At any later start callers wait, and whoever starts reads at once: the holder of the lease may start later
-// than the others after a loss of power, and requests that come meanwhile are refused.
+// At any later start callers are waiting, and an instance that starts reads the store at once.
+// After a power failure the holder of the lease may start later than the others, and requests that
+// arrive in the meantime would be refused.
 const (
-	// firstPatience is how long after its first start an instance leaves the reading to the seeds. They
-	// may start 0.3 s after the others, and then read and tell all of them.
-	firstPatience = 1200 * time.Millisecond
-	// startAgain is the least time between two questions of an instance that starts.
-	startAgain = 50 * time.Millisecond
+	// maxSeedWait is how long after its first start an instance leaves reading to the seeds. They
+	// may start 0.3 s after the others, and then need time to read the store and to reply to all.
+	maxSeedWait = 1200 * time.Millisecond
+	// startRetryInterval is the minimum time between two requests for the full state.
+	startRetryInterval = 50 * time.Millisecond
 )
 
-// errKnowsNothing says that an instance that was asked for all it knows knows nothing itself.
-var errKnowsNothing = errors.New("lead: the other instance knows nothing yet")
+// errKnowsNothing says that the instance that was asked for its full state has none yet.
+var errKnowsNothing = errors.New("lead: the other instance has no state yet")
 
-// settleStart is called after each look at the lease. At the first one it waits for the seeds where
-// that is due, and then lets this instance read the store.
-func (c *Coordinator) settleStart(ctx context.Context) {
+// allowStoreReads is called after each read of the lease. The first call waits for the seeds if
+// this is the deployment's first start, and then allows this instance to read the store.
+func (c *Coordinator) allowStoreReads(ctx context.Context) {
 	select {
-	case <-c.mayRead:
+	case <-c.mayReadStore:
 		return
 	default:
 	}
-	for c.leavesToSeeds() && c.board.CurrentAsOf() == clock.Never && ctx.Err() == nil {
-		c.learn(ctx, c.config.Seeds[xxhash.Sum64String(c.config.Self.ID)%uint64(len(c.config.Seeds))])
+	for c.waitsForSeeds() && c.board.CurrentAsOf() == clock.Never && ctx.Err() == nil {
+		c.learnFrom(ctx, c.config.Seeds[xxhash.Sum64String(c.config.Self.ID)%uint64(len(c.config.Seeds))])
 	}
-	close(c.mayRead)
+	close(c.mayReadStore)
 }
 
-// leavesToSeeds reports whether this instance leaves the first lease and the first reading to the seeds.
-func (c *Coordinator) leavesToSeeds() bool {
+// waitsForSeeds reports whether this instance leaves the first lease and the first reads to the
+// seeds.
+func (c *Coordinator) waitsForSeeds() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.neverLed && len(c.config.Seeds) > 0 && !slices.Contains(c.config.Seeds, c.config.Self.Address) &&
-		c.clock.Now().Sub(c.started) < firstPatience
+	return c.leaseNeverHeld && len(c.config.Seeds) > 0 && !slices.Contains(c.config.Seeds, c.config.Self.Address) &&
+		c.clock.Now().Sub(c.startedAt) < maxSeedWait
 }
 
-// learn asks another instance for all that it knows.
-func (c *Coordinator) learn(ctx context.Context, address string) {
+// learnFrom asks another instance for its full state, and waits a little if it has none.
+func (c *Coordinator) learnFrom(ctx context.Context, address string) {
 	begun := c.clock.Now()
-	if c.askAll(ctx, address, syncHold) != nil {
-		sleep(ctx, startAgain-c.clock.Now().Sub(begun))
+	if c.fetchFullState(ctx, address, syncHold) != nil {
+		sleep(ctx, startRetryInterval-c.clock.Now().Sub(begun))
 	}
 }
 
-// askAll asks an instance for all that it knows, however old, and takes it over. Wait is how long it
-// may hold the question until it knows something. The error is errKnowsNothing if it does not.
-func (c *Coordinator) askAll(ctx context.Context, address string, wait time.Duration) error {
-	args := c.question()
+// fetchFullState asks another instance for its full state, however old, and applies it. wait is how
+// long that instance may hold the request until it has a state. If it has none, the error is
+// errKnowsNothing.
+func (c *Coordinator) fetchFullState(ctx context.Context, address string, wait time.Duration) error {
+	args := c.newSyncArgs()
 	args.Starting = true
 	args.Wait = wait
 	begun := c.clock.Now()
@@ -75,32 +79,33 @@
 	if reply.TargetsRead == 0 || reply.RulesChanges == nil {
 		return errKnowsNothing
 	}
-	if err := unpack(reply); err != nil {
+	if err := unpackFullState(reply); err != nil {
 		return err
 	}
-	c.adopt(begun, args, reply)
+	c.applyReply(begun, args, reply)
 	if reply.Leader.Address != "" {
 		c.mu.Lock()
 		c.setLeader(reply.Leader)
 		c.mu.Unlock()
 	}
 	if reply.Leading {
-		// Otherwise relays would read what they have just been told.
-		c.followed()
+		// Otherwise relays would read from the store what they have just received.
+		c.noteFollowing()
 	}
 	c.log("told-by-other", "address", address, "age_ms", reply.Age.Milliseconds())
 	return nil
 }
 
-// awaitKnown waits until this instance knows something and who leads, or the time of a question is
-// over. One that answered before it has taken the lease would have each of the others look again.
-func (c *Coordinator) awaitKnown(ctx context.Context, args *peerapi.SyncArgs) {
+// awaitSnapshot waits until this instance has a snapshot and knows the leader, or until a request's
+// wait is over. If it replied before it has taken the lease, each of the others would read the
+// lease again.
+func (c *Coordinator) awaitSnapshot(ctx context.Context, args *peerapi.SyncArgs) {
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Load()
 		c.mu.Lock()
-		leader, found := c.leader, c.leaderKnown
+		leader, found := c.leader, c.leaderFound
 		c.mu.Unlock()
 		if leader.Address != "" && c.board.CurrentAsOf() != clock.Never {
 			return
--- a/coordination/lead/start_test.go
+++ b/coordination/lead/start_test.go
@@ -19,19 +19,19 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Tables of the source in these tests.
+// Tables of testSource.
 const (
 	rulesTable  = "rules"
 	targetTable = "targets"
 )
 
-// countedStore holds a lease, a configuration and some targets, and counts the calls of one instance.
-type countedStore struct {
+// countingStore holds a lease, a configuration and a target, and counts the calls of one instance.
+type countingStore struct {
 	row   lease.Row
 	calls atomic.Int64
 }
 
-func (s *countedStore) Scan(_ context.Context, name, _ string) ([]store.Row, uint64, error) {
+func (s *countingStore) Scan(_ context.Context, name, _ string) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
 	switch name {
 	case rulesTable:
@@ -46,19 +46,19 @@
 	return []store.Row{{ID: store.ID{Table: table, Part: part, Key: leaseKey}, Value: text, Version: 7}}, 9, err
 }
 
-func (s *countedStore) Feed(ctx context.Context, _ string, _ uint64, wait time.Duration) ([]store.Row, uint64, error) {
+func (s *countingStore) Feed(ctx context.Context, _ string, _ uint64, wait time.Duration) ([]store.Row, uint64, error) {
 	s.calls.Add(1)
 	sleep(ctx, wait)
 	return nil, 9, nil
 }
 
-func (s *countedStore) Commit(context.Context, store.Txn) (uint64, error) {
+func (s *countingStore) Commit(context.Context, store.Txn) (uint64, error) {
 	s.calls.Add(1)
 	return 0, &store.ConflictError{}
 }
 
-// startSource decodes what a countedStore holds.
-func startSource() Source {
+// testSource decodes the rows of a countingStore.
+func testSource() Source {
 	set, err := rules.Parse("rules", "")
 	Expect(err).NotTo(HaveOccurred())
 	return Source{
@@ -68,15 +68,15 @@
 	}
 }
 
-// starting makes an instance that knows nothing, in a store that names who leads.
-func starting(n int, all directory, row lease.Row, seeds []string) (*Coordinator, *countedStore) {
-	s := &countedStore{row: row}
+// newStarting returns an instance that knows nothing, with a store that holds the given lease row.
+func newStarting(n int, all directory, row lease.Row, seeds []string) (*Coordinator, *countingStore) {
+	s := &countingStore{row: row}
 	self := view.Instance{ID: fmt.Sprintf("new%02d.1", n), Address: fmt.Sprintf("n%02d", n), Weight: 0.16}
-	return New(Config{Self: self, Seeds: seeds, Source: startSource()}, clock.System{}, s, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), quiet), s
+	return New(Config{Self: self, Seeds: seeds, Source: testSource()}, clock.System{}, s, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), discardLog), s
 }
 
-// run lets instances run until the end of the test.
-func run(list ...*Coordinator) {
+// runAll runs instances until the end of the spec.
+func runAll(list ...*Coordinator) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for _, c := range list {
@@ -88,7 +88,7 @@
 	})
 }
 
-func knowsAll(c *Coordinator) bool {
+func knowsEverything(c *Coordinator) bool {
 	s := c.board.Load()
 	return s.Rules != nil && len(s.Targets) > 0 && len(s.Maps) > 0 && len(s.Instances) > 0
 }
@@ -102,17 +102,17 @@
 		seeds  []string
 	)
 
-	// lead lets the leading instance know everything, and lead.
-	lead := func() {
+	// startLeading gives the leader a complete snapshot and a term.
+	startLeading := func() {
 		now := leader.clock.Now()
 		set, err := rules.Parse("rules", "")
 		Expect(err).NotTo(HaveOccurred())
 		leader.board.SetRules(1, set, now)
-		leader.board.SetTargets(9, targets("x", "y"), now)
+		leader.board.SetTargets(9, makeTargets("x", "y"), now)
 		m := keyrange.Empty().Edit()
 		m.Move(0, keyrange.MaxKey, "x", false)
 		leader.board.SetMap("s", m.Map())
-		t := leader.begin(&stored{lease: row, leaseVersion: 7}, now)
+		t := leader.beginTerm(&stored{lease: row, leaseVersion: 7}, now)
 		t.publishMembers()
 	}
 
@@ -120,23 +120,23 @@
 		row = lease.Row{Holder: "i00.1", Address: "a00", Term: 3}
 		all = directory{}
 		seeds = nil
-		leader = New(Config{Self: view.Instance{ID: "i00.1", Address: "a00", Weight: 0.8}, Source: startSource()}, clock.System{}, &countedStore{row: row}, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), quiet)
+		leader = New(Config{Self: view.Instance{ID: "i00.1", Address: "a00", Weight: 0.8}, Source: testSource()}, clock.System{}, &countingStore{row: row}, view.NewBoard(clock.System{}), all, noOrders{}, demand.NewCollector(), discardLog)
 		all["a00"] = leader
 	})
 
-	calls := func(count int) []int64 {
+	callsMade := func(count int) []int64 {
 		GinkgoHelper()
 		var list []*Coordinator
-		var stores []*countedStore
+		var stores []*countingStore
 		for n := range count {
-			c, s := starting(n, all, row, seeds)
+			c, s := newStarting(n, all, row, seeds)
 			list = append(list, c)
 			stores = append(stores, s)
 			all[c.config.Self.Address] = c
 		}
-		run(list...)
+		runAll(list...)
 		for _, c := range list {
-			Eventually(func() bool { return knowsAll(c) }, "3s", "5ms").Should(BeTrue(), c.config.Self.ID)
+			Eventually(func() bool { return knowsEverything(c) }, "3s", "5ms").Should(BeTrue(), c.config.Self.ID)
 		}
 		var made []int64
 		for _, s := range stores {
@@ -145,33 +145,33 @@
 		return made
 	}
 
-	// Symptom: 295 instances that start for the first time make 600 calls about a lease that one can have.
-	// Sequence: none of them has ever led; all bid, all but one are refused and look again.
-	// Cause: nobody left the first lease to others. Seeds start late at times.
-	It("make one call each where nobody has ever led, and the seeds start as well", func() {
+	// Guards against 600 calls of 295 instances at the first start of a deployment: all of them bid
+	// for a lease that only one can get, and the others read it again. Seeds sometimes start later
+	// than the others.
+	It("make at most one call each at the first start, also if the seeds start late", func() {
 		row.Holder = ""
 		seeds = []string{"a00"}
 		time.AfterFunc(300*time.Millisecond, func() {
 			row = lease.Row{Holder: "i00.1", Address: "a00", Term: 1}
-			lead()
+			startLeading()
 		})
-		Expect(calls(fleetSize)).To(HaveEach(BeNumerically("<=", 1)))
+		Expect(callsMade(fleetSize)).To(HaveEach(BeNumerically("<=", 1)))
 	})
 
-	// Symptom: after all have lost power callers are refused for half a second longer than need be.
-	// Sequence: the holder of the lease is one of the last to start; the others wait for it.
-	// Cause: they could read the store, and did not.
+	// Guards against refusing callers for half a second longer than necessary after a power
+	// failure: the holder of the lease is among the last to start, and the others waited for it
+	// although they could read the store.
 	It("read at once when the holder of the lease does not answer", func() {
 		delete(all, "a00")
-		c, _ := starting(0, all, row, nil)
-		run(c)
+		c, _ := newStarting(0, all, row, nil)
+		runAll(c)
 		Eventually(func() bool { return len(c.board.Load().Targets) > 0 }, "100ms", "5ms").Should(BeTrue())
 	})
 
-	It("read by themselves when no seed is there", func() {
+	It("read by themselves when no seed replies", func() {
 		row.Holder = ""
-		c, _ := starting(0, all, row, []string{"nobody"})
-		run(c)
-		Eventually(func() bool { return len(c.board.Load().Targets) > 0 }, firstPatience+200*time.Millisecond, "5ms").Should(BeTrue())
+		c, _ := newStarting(0, all, row, []string{"nobody"})
+		runAll(c)
+		Eventually(func() bool { return len(c.board.Load().Targets) > 0 }, maxSeedWait+200*time.Millisecond, "5ms").Should(BeTrue())
 	})
 })
--- a/coordination/lead/stored.go
+++ b/coordination/lead/stored.go
@@ -11,26 +11,26 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// stored is what the store holds of ours.
+// stored is the content of this package's rows in the store.
 type stored struct {
-	// era is the store's as of the reading.
+	// era is the store's era at the time of the read.
 	era uint64
-	// ledBefore says that this instance knew of a holder of the lease before it read this.
-	ledBefore    bool
+	// knewHolder says that this instance knew of a holder of the lease before this read.
+	knewHolder   bool
 	lease        lease.Row
 	leaseVersion uint64
 	maps         map[string]*keyrange.Map
 	mapVersions  map[string]uint64
-	// quarantine is the content of the row of requests that are quarantined; nil: there is none.
+	// quarantine is the content of the row of quarantined requests; nil if there is none.
 	quarantine []byte
 }
 
-// readStored reads the lease and the maps as of one moment.
+// readStored reads the lease and the maps, consistent as of one moment.
 func (c *Coordinator) readStored(ctx context.Context) (*stored, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, version, err := c.store.Scan(callCtx, table, part)
-	c.noteStore(ctx, err)
+	c.noteStoreResult(ctx, err)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 			s.quarantine = row.Value
 			continue
 		}
-		service, ok := strings.CutPrefix(row.Key, mapKey)
+		service, ok := strings.CutPrefix(row.Key, mapKeyPrefix)
 		if !ok {
 			continue
 		}
@@ -66,8 +66,8 @@
 	return s, nil
 }
 
-// lookAtLease reads the lease, and takes it if it is free and that is wanted.
-func (c *Coordinator) lookAtLease(ctx context.Context, wanted bool) (*term, error) {
+// checkLease reads the lease, and takes it if it is free and wanted is true.
+func (c *Coordinator) checkLease(ctx context.Context, wanted bool) (*term, error) {
 	begun := c.clock.Now()
 	s, err := c.readStored(ctx)
 	if err != nil {
@@ -83,79 +83,80 @@
 	}
 	now := c.clock.Now()
 	c.mu.Lock()
-	s.ledBefore = c.observer.EverHeld()
-	c.observer.Observe(s.leaseVersion, s.current() && s.lease.Vacant, now)
-	c.looked(begun)
+	s.knewHolder = c.observer.EverHeld()
+	c.observer.Observe(s.leaseVersion, s.ofCurrentEra() && s.lease.Vacant, now)
+	c.noteLeaseRead(begun)
 	free := c.isFree(s, begun, now)
-	c.neverLed = s.lease.Term == 0
-	// A write of ours whose answer was lost may have taken effect after all.
-	ours := s.current() && s.lease.Holder == c.config.Self.ID
+	c.leaseNeverHeld = s.lease.Term == 0
+	// A write of this instance whose answer was lost may have taken effect.
+	ours := s.ofCurrentEra() && s.lease.Holder == c.config.Self.ID
 	leader := lease.Row{}
-	if s.current() && !free && !ours {
+	if s.ofCurrentEra() && !free && !ours {
 		leader = s.lease
 	}
 	c.setLeader(leader)
 	c.mu.Unlock()
-	if !wanted || !free && !ours || c.leavesToSeeds() {
+	if !wanted || !free && !ours || c.waitsForSeeds() {
 		return nil, nil
 	}
 	return c.bid(ctx, s), nil
 }
 
-// isFree reports whether the lease as it was just read is free for this instance. The caller holds the lock.
+// isFree reports whether the lease that was just read is free for this instance. The caller holds
+// the lock.
 func (c *Coordinator) isFree(s *stored, begun, now clock.Instant) bool {
-	if s.current() {
-		return c.observer.MayAcquire(begun) || c.succeeds(s.lease) || s.lease.Term != 0 && s.lease.Term == c.vacated.term
+	if s.ofCurrentEra() {
+		return c.observer.MayAcquire(begun) || c.heldByPreviousProcess(s.lease) || s.lease.Term != 0 && s.lease.Term == c.vacatedTerm.term
 	}
-	return c.former.leads(now) || c.observer.MayAcquire(begun) && c.knowsOwners(begun)
+	return c.priorTerm.stillExclusive(now) || c.observer.MayAcquire(begun) && c.knowsCurrentOwners(begun)
 }
 
-// looked notes that the lease's row was read at the given time. The caller holds the lock.
-func (c *Coordinator) looked(at clock.Instant) {
-	c.lookedAt = at
-	c.nowCurrent()
+// noteLeaseRead notes that the lease row was read at the given time. The caller holds the lock.
+func (c *Coordinator) noteLeaseRead(at clock.Instant) {
+	c.leaseReadAt = at
+	c.notifyCurrent()
 }
 
-// nowCurrent wakes those whose questions are held until this instance can say something current.
-// The caller holds the lock.
-func (c *Coordinator) nowCurrent() {
-	close(c.heard)
-	c.heard = make(chan struct{})
+// notifyCurrent wakes the questions that are held until this instance has current information. The
+// caller holds the lock.
+func (c *Coordinator) notifyCurrent() {
+	close(c.becameCurrent)
+	c.becameCurrent = make(chan struct{})
 }
 
-// succeeds reports whether the holder of the lease is a former process at this instance's
-// address. It has ended, since this one listens there, and does nothing under the lease any
-// more; waiting for the lease to run out would leave nobody in charge for 2 s after all
-// instances were started anew.
-func (c *Coordinator) succeeds(row lease.Row) bool {
+// heldByPreviousProcess reports whether the holder of the lease is a former process at this
+// instance's address. That process has ended, since this one listens there, and does not act under
+// the lease any more. Waiting for the lease to expire would leave the deployment without a leader
+// for 2 s after a restart of all instances.
+func (c *Coordinator) heldByPreviousProcess(row lease.Row) bool {
 	return row.Address == c.config.Self.Address && row.Holder != c.config.Self.ID
 }
 
-// bidDelay is how long an instance with a part of a core holds its bid back.
+// bidDelay returns how long an instance with the given share of a core delays its bid.
 func bidDelay(weight float64) time.Duration {
 	if weight >= 1 {
 		return 0
 	}
-	return min(longestBid, time.Duration(float64(bidSpread)*(1-weight)/weight))
+	return min(maxBidDelay, time.Duration(float64(bidDelayStep)*(1-weight)/weight))
 }
 
-// holdBack leaves the lease for a moment to others that would lead better.
-func (c *Coordinator) holdBack(ctx context.Context, s *stored) {
+// delayBid waits, so that instances that would lead better can take the lease first.
+func (c *Coordinator) delayBid(ctx context.Context, s *stored) {
 	sleep(ctx, bidDelay(c.config.Self.Weight))
-	if s.lease.Vacant && c.outranked() {
-		sleep(ctx, outrankedBid)
+	if s.lease.Vacant && c.knowsMuchLarger() {
+		sleep(ctx, outrankedBidDelay)
 	}
 	if c.board.HasRetained() {
-		sleep(ctx, keepingBid)
+		sleep(ctx, retainingBidDelay)
 	}
 }
 
 func (c *Coordinator) bid(ctx context.Context, s *stored) *term {
-	if !c.leadsOn() {
-		c.holdBack(ctx, s)
+	if !c.mayResumeLeading() {
+		c.delayBid(ctx, s)
 	}
-	if !s.current() {
-		c.takeUp(s)
+	if !s.ofCurrentEra() {
+		c.useNewestMaps(s)
 	}
 	row := lease.Row{Holder: c.config.Self.ID, Address: c.config.Self.Address, Term: s.nextTerm(), Era: s.era}
 	text, err := row.Encode()
@@ -168,14 +169,14 @@
 		Expect: []store.Expect{{ID: id, Version: s.leaseVersion}},
 		Writes: []store.Write{{ID: id, Value: text}},
 	}
-	raised, err := s.raise(&txn)
+	raised, err := s.raiseFences(&txn)
 	if err != nil {
 		c.log("map-not-written", "error", err.Error())
 		return nil
 	}
-	guardEra(&txn, s.era)
-	if !s.current() {
-		openEra(&txn, s.era)
+	expectNoNextEra(&txn, s.era)
+	if !s.ofCurrentEra() {
+		addEraRow(&txn, s.era)
 	}
 	begun := c.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -191,19 +192,19 @@
 		s.mapVersions[service] = version
 		c.board.SetMap(service, m)
 	}
-	return c.begin(s, begun)
+	return c.beginTerm(s, begun)
 }
 
-// raise adds the maps with all fences raised to a transaction, and returns them.
-func (s *stored) raise(txn *store.Txn) (map[string]*keyrange.Map, error) {
+// raiseFences adds the maps with all fences raised to a transaction, and returns them.
+func (s *stored) raiseFences(txn *store.Txn) (map[string]*keyrange.Map, error) {
 	raised := map[string]*keyrange.Map{}
 	for service, m := range s.maps {
-		raised[service] = m.WithRaisedFences(s.leastCount())
+		raised[service] = m.WithRaisedFences(s.minCount())
 		text, err := raised[service].Encode()
 		if err != nil {
 			return nil, err
 		}
-		id := store.ID{Table: table, Part: part, Key: mapKey + service}
+		id := store.ID{Table: table, Part: part, Key: mapKeyPrefix + service}
 		txn.Expect = append(txn.Expect, store.Expect{ID: id, Version: s.mapVersions[service]})
 		txn.Writes = append(txn.Writes, store.Write{ID: id, Value: text})
 	}
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -14,50 +14,51 @@
 )
 
 const (
-	// tickEvery is the time between looks at what is due, beside answers that come in.
-	tickEvery = 25 * time.Millisecond
-	// darkAfter is how long the lease must not have been renewed for the store to count as
-	// lost. Grants are then made as long as they may be: nobody can renew them once the
-	// lease has run out, and nobody can take the lease while the store is away.
-	// It is long enough for relays to say whether the store answers them, and leaves 0.5 s of the
-	// lease for the renewals.
-	darkAfter = 1350 * time.Millisecond
+	// tickInterval is the time between checks of what is due; results of calls are handled at once.
+	tickInterval = 25 * time.Millisecond
+	// storeUnavailableAfter is how long the lease must not have been renewed for the store to count
+	// as unavailable. Grants are then given the longest hold: nobody can renew them once the lease
+	// has expired, and nobody can take the lease while the store is unavailable. It is long enough
+	// for relays to report whether the store answers them, and leaves 0.5 s of the lease for the
+	// renewals.
+	storeUnavailableAfter = 1350 * time.Millisecond
 )
 
-// term is one leadership.
+// term is one leadership of this instance.
 type term struct {
-	c      *Coordinator
-	stored *stored
-	begun  clock.Instant
+	c       *Coordinator
+	stored  *stored
+	begunAt clock.Instant
 
-	// mu guards the next three; it is a leaf but for the Board's lock.
-	mu      sync.Mutex
-	holder  lease.Holder
-	members map[string]*member
-	count   uint64
-	// joined says that members have come since the list was last published.
-	joined bool
-	// knew says that the members of the former leading instance were known.
-	knew bool
-	// formerHeld is when everything granted in former terms has run out, if that is known.
-	formerHeld clock.Instant
-	// What follows belongs to the loop.
+	// mu guards the fields from holder to knewMembers. No lock but the Board's is taken while it is
+	// held.
+	mu              sync.Mutex
+	holder          lease.Holder
+	members         map[string]*member
+	memberListCount uint64
+	// membersJoined says that members have joined since the list was last published.
+	membersJoined bool
+	// knewMembers says that the members of the former leader were known.
+	knewMembers bool
+	// priorGrantsUntil is when all grants of former terms have expired; Never if that is not known.
+	priorGrantsUntil clock.Instant
+	// The fields below belong to the term's loop.
 	managers map[string]*assign.Manager
 
-	// committing says that a change is being stored; only the loop looks at it.
-	committing bool
-	nextRenew  clock.Instant
-	retryAt    clock.Instant
-	dark       bool
-	// extend says that all grants are to have the longest hold, since this instance leaves.
-	extend   bool
-	ended    bool
-	loadAt   clock.Instant
-	done     chan func()
-	stop     chan struct{}
-	stopOnce sync.Once
-	exited   chan struct{}
-	seen     *view.Snapshot
+	// committing says that a change is being stored; only the loop reads it.
+	committing       bool
+	renewAt          clock.Instant
+	retryAt          clock.Instant
+	storeUnavailable bool
+	// extendHolds says that all grants get the longest hold because this instance leaves.
+	extendHolds  bool
+	ended        bool
+	loadReadAt   clock.Instant
+	actions      chan func()
+	stop         chan struct{}
+	stopOnce     sync.Once
+	exited       chan struct{}
+	lastSnapshot *view.Snapshot
 }
 
 func (t *term) valid(now clock.Instant) bool {
@@ -66,31 +67,31 @@
 	return t.holder.Valid(now)
 }
 
-func (c *Coordinator) begin(s *stored, confirmed clock.Instant) *term {
+func (c *Coordinator) beginTerm(s *stored, confirmed clock.Instant) *term {
 	now := c.clock.Now()
 	t := &term{
-		c: c, stored: s, begun: now, managers: map[string]*assign.Manager{}, members: map[string]*member{},
-		nextRenew: now, retryAt: now, loadAt: clock.Never, formerHeld: clock.Never,
-		done: make(chan func(), 1024), stop: make(chan struct{}), exited: make(chan struct{}),
+		c: c, stored: s, begunAt: now, managers: map[string]*assign.Manager{}, members: map[string]*member{},
+		renewAt: now, retryAt: now, loadReadAt: clock.Never, priorGrantsUntil: clock.Never,
+		actions: make(chan func(), 1024), stop: make(chan struct{}), exited: make(chan struct{}),
 	}
 	t.holder.Renewed(confirmed)
 	c.mu.Lock()
-	if c.former.successor == s.lease.Term {
-		t.formerHeld = c.former.heldUntil
+	if c.priorTerm.nextTerm == s.lease.Term {
+		t.priorGrantsUntil = c.priorTerm.grantsUntil
 	}
-	c.former = former{}
-	c.heardLeader = true
+	c.priorTerm = priorTerm{}
+	c.heardFromLeader = true
 	c.mu.Unlock()
 	for _, i := range c.board.Load().Instances {
-		t.members[i.ID] = &member{Instance: i, heardAt: now}
+		t.members[i.ID] = &member{Instance: i, reportedAt: now}
 	}
-	t.members[c.config.Self.ID] = &member{Instance: c.config.Self, heardAt: now}
+	t.members[c.config.Self.ID] = &member{Instance: c.config.Self, reportedAt: now}
 	c.mu.Lock()
-	if c.vacated.term != 0 && c.vacated.term == s.lease.Term-1 {
-		t.formerHeld = c.vacated.heldUntil
+	if c.vacatedTerm.term != 0 && c.vacatedTerm.term == s.lease.Term-1 {
+		t.priorGrantsUntil = c.vacatedTerm.grantsUntil
 	}
 	c.term = t
-	c.lost = ""
+	c.lostLeader = ""
 	c.setLeader(s.lease)
 	c.observer.Observe(s.leaseVersion, false, now)
 	c.mu.Unlock()
@@ -101,11 +102,11 @@
 
 // run leads until the lease is lost or given up.
 func (t *term) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for !t.ended {
 		select {
-		case fn := <-t.done:
+		case fn := <-t.actions:
 			fn()
 		case <-ticker.C:
 		case <-t.c.wake:
@@ -136,19 +137,19 @@
 		t.ended = true
 		return
 	}
-	if t.storeReturned() {
-		t.noteReturned(now)
+	if t.storeRestored() {
+		t.endAfterRestore(now)
 		return
 	}
 	t.refreshTargets(now)
 	t.refreshLoad(now)
-	t.checkDark(now, until)
+	t.checkStoreAvailable(now, until)
 	for _, m := range t.managers {
-		for _, o := range m.Tick(now, t.dark) {
-			t.send(ctx, o)
+		for _, o := range m.Tick(now, t.storeUnavailable) {
+			t.sendOrder(ctx, o)
 		}
 	}
-	t.checkMembers(now)
+	t.updateMembers(now)
 	t.handOver(ctx, now)
 	if t.ended {
 		return
@@ -156,26 +157,27 @@
 	t.commit(ctx, now)
 }
 
-// checkDark sees whether the store is lost, and has all grants renewed when it is.
-func (t *term) checkDark(now, until clock.Instant) {
+// checkStoreAvailable checks whether the store is unavailable, and has all grants renewed when it
+// becomes so.
+func (t *term) checkStoreAvailable(now, until clock.Instant) {
 	since := now.Sub(until.Add(lease.SafetyMargin - lease.Duration))
-	dark := since > darkAfter || t.extend
-	if dark && !t.dark {
+	unavailable := since > storeUnavailableAfter || t.extendHolds
+	if unavailable && !t.storeUnavailable {
 		t.c.log("holds-extended", "since_ms", since.Milliseconds(), "hold_ms", t.c.config.HoldMax.Milliseconds())
 		for _, m := range t.managers {
 			m.RenewAll()
 		}
 	}
-	t.dark = dark
+	t.storeUnavailable = unavailable
 }
 
-// refreshTargets gives the managers the targets as they are believed now.
+// refreshTargets passes the known targets to the managers.
 func (t *term) refreshTargets(now clock.Instant) {
 	snapshot := t.c.board.Load()
-	if snapshot.Rules == nil || snapshot == t.seen && now.Sub(t.loadAt) < loadEvery {
+	if snapshot.Rules == nil || snapshot == t.lastSnapshot && now.Sub(t.loadReadAt) < loadInterval {
 		return
 	}
-	t.seen = snapshot
+	t.lastSnapshot = snapshot
 	leaving := t.c.leavingTargets(snapshot)
 	for _, s := range snapshot.Rules.Services() {
 		if !s.Keyed {
@@ -184,19 +186,20 @@
 		m := t.managers[s.Name]
 		if m == nil {
 			m = assign.NewManager(assign.Config{
-				Service: s.Name, HoldMax: t.c.config.HoldMax, HeldUntil: t.formerHeld, Policy: t.c.policy(s.Imbalance),
+				Service: s.Name, HoldMax: t.c.config.HoldMax, HeldUntil: t.priorGrantsUntil, Policy: t.c.policy(s.Imbalance),
 			}, t.stored.maps[s.Name], now)
 			t.managers[s.Name] = m
 		}
-		m.SetTargets(now, asPlaced(snapshot, snapshot.ByService[s.Name], leaving))
+		m.SetTargets(now, placementTargets(snapshot, snapshot.ByService[s.Name], leaving))
 		m.SetColdRate(s.ColdRate, t.c.collector.MeanWork(s.Name))
 	}
 }
 
-// asPlaced returns a list of targets as keys are placed among them. Those that have said themselves that
-// they leave, and those of data centres that are evacuated, are draining: the first may not reach the
-// registry, and would keep their keys, though requests for these are not sent to them any more.
-func asPlaced(s *view.Snapshot, list []view.Target, leaving []string) []view.Target {
+// placementTargets returns a list of targets as keys are placed on them. Targets that have
+// announced that they are leaving, and those of evacuated data centres, count as draining. A
+// leaving target may not reach the registry. It would then keep its keys although no requests for
+// them are sent to it any more.
+func placementTargets(s *view.Snapshot, list []view.Target, leaving []string) []view.Target {
 	list = slices.Clone(list)
 	for i, t := range list {
 		list[i].Draining = !s.AcceptsNewWork(t) || slices.Contains(leaving, t.ID)
@@ -205,49 +208,49 @@
 	return list
 }
 
-// policy is when a service's keys move for balance.
+// policy returns the policy by which a service's keys move for balance.
 func (c *Coordinator) policy(imbalance float64) keyrange.Policy {
 	policy := c.config.Policy
 	policy.Imbalance = imbalance
 	return policy
 }
 
-// loadEvery is the time between looks at the load.
-const loadEvery = 250 * time.Millisecond
+// loadInterval is the time between updates of the load.
+const loadInterval = 250 * time.Millisecond
 
 func (t *term) refreshLoad(now clock.Instant) {
-	if t.loadAt != clock.Never && now.Sub(t.loadAt) < loadEvery {
+	if t.loadReadAt != clock.Never && now.Sub(t.loadReadAt) < loadInterval {
 		return
 	}
-	t.loadAt = now
-	work, pace := t.c.collector.Drain()
-	t.c.total.AddReport(work, pace, now)
-	limits := t.c.total.Limits(now)
+	t.loadReadAt = now
+	work, stats := t.c.collector.Drain()
+	t.c.aggregator.AddReport(work, stats, now)
+	limits := t.c.aggregator.Limits(now)
 	for service, m := range t.managers {
-		m.SetLoad(t.c.total.Load(service, now))
+		m.SetLoad(t.c.aggregator.Load(service, now))
 		m.SetLimits(limits)
 	}
 	targets := t.c.board.Load().Targets
 	t.c.orders.RetainTargets(func(id string) bool { _, ok := targets[id]; return ok })
 }
 
-// send carries an order out beside the loop.
-func (t *term) send(ctx context.Context, o assign.Order) {
+// sendOrder sends an order outside the loop, and passes the outcome to the loop.
+func (t *term) sendOrder(ctx context.Context, o assign.Order) {
 	go func() {
 		outcome, handover, sentAt := t.c.orders.Do(ctx, o)
 		if outcome == assign.Done {
 			o.SentAt = sentAt
 		}
-		result := func() { t.finished(o, outcome, handover) }
+		result := func() { t.recordOutcome(o, outcome, handover) }
 		select {
-		case t.done <- result:
+		case t.actions <- result:
 		case <-t.stop:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-func (t *term) finished(o assign.Order, outcome assign.Outcome, handover string) {
+func (t *term) recordOutcome(o assign.Order, outcome assign.Outcome, handover string) {
 	m := t.managers[o.Service]
 	if m == nil {
 		return
