--- a/cmd/lycheehall-standin/main.go
+++ b/cmd/lycheehall-standin/main.go
@@ -104,11 +104,11 @@
 	}
 	// A target that is started again has the name of before, and holds nothing.
 	target := standin.NewTarget(o.id, o.service, !o.unkeyed)
-	target.Born = time.Now().UnixMilli()
+	target.StartedAt = time.Now().UnixMilli()
 	target.Work = o.work
-	target.Plant = standin.Plant(o.plant)
+	target.Inject = standin.InjectedFault(o.plant)
 	target.DataCentre, target.Disturbed = o.dataCentre, o.disturbed
-	target.Cold, target.ColdRate = time.Now().Add(o.cold), o.coldRate
+	target.ColdUntil, target.ColdRate = time.Now().Add(o.cold), o.coldRate
 	target.Crash = func() { os.Exit(1) }
 	if o.record != "" {
 		if err := record(target, o.record); err != nil {
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -16,7 +16,7 @@
 	leastLimit = 2
 	mostLimit  = 12
 	// limitedLeast and limitedMost bound the time for which one is named.
-	limitedLeast = standin.LimitAfter + 2*time.Second
+	limitedLeast = standin.LimitGrace + 2*time.Second
 	limitedMost  = 10 * time.Second
 	// limitPause is the longest time between two limits.
 	limitPause = 3 * time.Second
@@ -78,7 +78,7 @@
 		at, known := heard[w]
 		// What was heard of a former limit does not count, nor what was heard before an interruption.
 		binds := known && at.After(since) && begun.Sub(at) >= toldBefore && !between(interrupted[t.Instance], at, begun)
-		if binds && time.Duration(r.Limited) >= standin.LimitAfter {
+		if binds && time.Duration(r.Limited) >= standin.LimitGrace {
 			byTarget[r.Target] = append(byTarget[r.Target], bound{r.Begun, r.Limit})
 		}
 		if t.Limited && (!known || at.Before(since) || between(interrupted[t.Instance], at, t.Heard)) {
@@ -107,7 +107,7 @@
 		for _, b := range list[first : i+1] {
 			limit = max(limit, b.limit)
 		}
-		n, most := i-first+1, standin.LimitBound(limit)
+		n, most := i-first+1, standin.MaxRequestsInLimitWindow(limit)
 		if allowed == 0 || float64(n)-most > float64(count)-allowed {
 			count, allowed = n, most
 		}
--- a/soak/places.go
+++ b/soak/places.go
@@ -181,7 +181,7 @@
 			byTarget[r.Target] = append(byTarget[r.Target], r.Begun)
 		}
 	}
-	const most = int(coldRate*standin.ColdOver + standin.ColdSlack)
+	const most = int(coldRate*standin.ColdRateFactor + standin.ColdRateAllowance)
 	var wrong []string
 	for target, times := range byTarget {
 		slices.Sort(times)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -102,7 +102,7 @@
 	})
 
 	It("notices a planted fault in real processes", func() {
-		Expect(play(build(), 7, time.Second, string(standin.Twice)).Wrong).NotTo(BeEmpty())
+		Expect(play(build(), 7, time.Second, string(standin.RunTwice)).Wrong).NotTo(BeEmpty())
 	})
 })
 
