--- a/cmd/lycheehall-soak/main.go
+++ b/cmd/lycheehall-soak/main.go
@@ -64,18 +64,18 @@
 		}
 	}
 	result, err := soak.Run(soak.Options{
-		Seed: seed, Size: soak.Size{Instances: o.instances, Targets: o.targets, Plant: o.plant},
-		Length: o.length, Programs: o.programs, Dir: dir, Progress: progress,
+		Seed: seed, Size: soak.Size{Instances: o.instances, Targets: o.targets, Defect: o.plant},
+		Length: o.length, ProgramDir: o.programs, Dir: dir, Progress: progress,
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	fmt.Printf("seed %d: %d faults, %v, %d wrong\n", seed, result.Faults, result.Counts, len(result.Wrong))
-	for _, w := range result.Wrong[:min(len(result.Wrong), 10)] {
+	fmt.Printf("seed %d: %d faults, %v, %d wrong\n", seed, result.Faults, result.Counts, len(result.Violations))
+	for _, w := range result.Violations[:min(len(result.Violations), 10)] {
 		fmt.Println("  ", w)
 	}
-	if len(result.Wrong) > 0 {
+	if len(result.Violations) > 0 {
 		fmt.Println("   logs and records in", dir)
 		return false
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -134,8 +134,8 @@
 type Size struct {
 	Instances int
 	Targets   int
-	// Plant is a fault that the targets are told to have, to see whether it is noticed.
-	Plant string
+	// Defect is a fault that the targets are told to have, to see whether it is noticed.
+	Defect string
 }
 
 // Addresses are taken below the ports that the system gives to outgoing connections. One of
@@ -172,7 +172,7 @@
 		return f, err
 	}
 	for i := range size.Targets {
-		if err := f.startTarget(programs, i, size.Plant); err != nil {
+		if err := f.startTarget(programs, i, size.Defect); err != nil {
 			return f, err
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,18 +20,18 @@
 	Size
 	// Length is how long faults are injected.
 	Length time.Duration
-	// Programs is the folder with the built programs, Dir one for logs and records.
-	Programs string
-	Dir      string
+	// ProgramDir is the folder with the built programs, Dir one for logs and records.
+	ProgramDir string
+	Dir        string
 	// Progress is told what happens.
 	Progress func(format string, args ...any)
 }
 
 // Result is what a soak has seen.
 type Result struct {
-	Counts map[Outcome]int
-	Faults int
-	Wrong  []string
+	Counts     map[Outcome]int
+	Faults     int
+	Violations []string
 }
 
 const (
@@ -65,7 +65,7 @@
 
 // Run plays one seed.
 func Run(o Options) (*Result, error) {
-	fleet, err := NewFleet(o.Programs, o.Dir, o.Size)
+	fleet, err := NewFleet(o.ProgramDir, o.Dir, o.Size)
 	defer fleet.Stop()
 	if err != nil {
 		return nil, err
@@ -95,10 +95,10 @@
 	limits()
 	leaving()
 	evacuated := evacuations()
-	result := &Result{Faults: s.faults, Wrong: changes.Stop()}
+	result := &Result{Faults: s.faults, Violations: changes.Stop()}
 	for _, err := range []error{s.settle("recovery"), changes.settled()} {
 		if err != nil {
-			result.Wrong = append(result.Wrong, err.Error())
+			result.Violations = append(result.Violations, err.Error())
 		}
 	}
 	result.Counts = s.callers.Count()
@@ -107,11 +107,11 @@
 	if err != nil {
 		return nil, err
 	}
-	result.Wrong = append(result.Wrong, Check(told, runs)...)
-	result.Wrong = append(result.Wrong, checkLeaving(told, runs, s.interrupted.instances(fleet))...)
-	result.Wrong = append(result.Wrong, checkEvacuations(told, runs, evacuated, s.outOfTouch.of)...)
-	result.Wrong = append(result.Wrong, checkCold(runs)...)
-	result.Wrong = append(result.Wrong, checkLimits(told, runs, s.interrupted.instances(fleet))...)
+	result.Violations = append(result.Violations, Check(told, runs)...)
+	result.Violations = append(result.Violations, checkLeaving(told, runs, s.interrupted.instances(fleet))...)
+	result.Violations = append(result.Violations, checkEvacuations(told, runs, evacuated, s.outOfTouch.of)...)
+	result.Violations = append(result.Violations, checkCold(runs)...)
+	result.Violations = append(result.Violations, checkLimits(told, runs, s.interrupted.instances(fleet))...)
 	return result, nil
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -46,8 +46,8 @@
 func play(programs string, seed uint64, length time.Duration, plant string) *Result {
 	GinkgoHelper()
 	result, err := Run(Options{
-		Seed: seed, Size: Size{Instances: 3, Targets: 3, Plant: plant}, Length: length,
-		Programs: programs, Dir: GinkgoT().TempDir(),
+		Seed: seed, Size: Size{Instances: 3, Targets: 3, Defect: plant}, Length: length,
+		ProgramDir: programs, Dir: GinkgoT().TempDir(),
 		Progress: func(format string, args ...any) { GinkgoWriter.Printf(format+"\n", args...) },
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -57,7 +57,7 @@
 var _ = Describe("a soak", func() {
 	It("finds nothing wrong on a short run", func() {
 		result := play(build(), 7, 6*time.Second, "")
-		Expect(result.Wrong).To(BeEmpty())
+		Expect(result.Violations).To(BeEmpty())
 		Expect(result.Counts[Answered]).To(BeNumerically(">", 200))
 	})
 
@@ -97,12 +97,12 @@
 	It("finds nothing wrong on seeds that have failed", func() {
 		programs := build()
 		for _, r := range regressions {
-			Expect(play(programs, r.seed, 10*time.Second, "").Wrong).To(BeEmpty(), "seed %d: %s", r.seed, r.cause)
+			Expect(play(programs, r.seed, 10*time.Second, "").Violations).To(BeEmpty(), "seed %d: %s", r.seed, r.cause)
 		}
 	})
 
 	It("notices a planted fault in real processes", func() {
-		Expect(play(build(), 7, time.Second, string(standin.Twice)).Wrong).NotTo(BeEmpty())
+		Expect(play(build(), 7, time.Second, string(standin.Twice)).Violations).NotTo(BeEmpty())
 	})
 })
 
