--- a/cmd/lycheehall/diff.go
+++ b/cmd/lycheehall/diff.go
@@ -1,7 +1,8 @@
 package main
 
-// diffLines returns the lines of both texts, marked with "+", "-" or " ", by their longest
-// common subsequence; unchanged lines far from a change are left out.
+// diffLines returns a line diff of two texts, based on their longest common subsequence. Each line
+// starts with "+", "-" or " ". Unchanged lines are left out unless they are within contextLines of
+// a change.
 func diffLines(before, after []string) []string {
 	common := commonLengths(before, after)
 	var out []string
@@ -20,10 +21,11 @@
 			i++
 		}
 	}
-	return nearChanges(out)
+	return keepContext(out)
 }
 
-// commonLengths[i][j] is the length of the longest common subsequence of the rests.
+// commonLengths returns a table whose element [i][j] is the length of the longest common subsequence
+// of before[i:] and after[j:].
 func commonLengths(before, after []string) [][]int {
 	table := make([][]int, len(before)+1)
 	for i := range table {
@@ -41,10 +43,11 @@
 	return table
 }
 
-// contextLines is how many unchanged lines are kept around a change.
+// contextLines is the number of unchanged lines printed on each side of a change.
 const contextLines = 2
 
-func nearChanges(lines []string) []string {
+// keepContext removes unchanged lines that are more than contextLines away from a change.
+func keepContext(lines []string) []string {
 	keep := make([]bool, len(lines))
 	for i, l := range lines {
 		if l[0] == ' ' {
--- a/cmd/lycheehall/main.go
+++ b/cmd/lycheehall/main.go
@@ -1,4 +1,4 @@
-// Command lycheehall is the operators' command line.
+// Command lycheehall is the command line client for operators of a deployment.
 package main
 
 import (
@@ -10,25 +10,25 @@
 	"github.com/integrii/flaggy"
 )
 
-// version is printed by --version.
+// version is what --version prints.
 const version = "0.2.0"
 
 // Exit codes; docs/OPERATIONS.md describes them.
 const (
 	exitOK = 0
-	// exitFailed: the instance could not be reached, or refused for another reason.
+	// exitFailed: the instance could not be reached, or it refused for a reason not listed below.
 	exitFailed = 1
-	// exitInvalid: the input is not valid; nothing was changed.
+	// exitInvalid: the input is invalid; nothing was changed.
 	exitInvalid = 2
-	// exitConflict: somebody else's change came first; nothing was changed.
+	// exitConflict: another change was made after the base version; nothing was changed.
 	exitConflict = 3
-	// exitUncertain: the change may have been accepted; repeat it with the same change id.
+	// exitUncertain: the change may have been accepted; it can be retried with the same change id.
 	exitUncertain = 4
-	// exitNotEverywhere: accepted, but not yet in force everywhere when the wait ended.
+	// exitNotEverywhere: accepted, but not in force at every instance when the wait ended.
 	exitNotEverywhere = 5
 )
 
-// exitError is an error with the exit code it leads to.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	code int
 	err  error
@@ -38,20 +38,21 @@
 
 func (e exitError) Unwrap() error { return e.err }
 
-func failf(code int, format string, args ...any) error {
+// exitErrorf formats an exitError.
+func exitErrorf(code int, format string, args ...any) error {
 	return exitError{code, fmt.Errorf(format, args...)}
 }
 
-// options are the values of all flags and positions.
+// options holds the values of all flags and positional arguments.
 type options struct {
-	admin  string
-	token  string
-	json   bool
-	author string
-	file   string
-	base   uint64
-	change string
-	wait   time.Duration
+	admin    string
+	token    string
+	json     bool
+	author   string
+	file     string
+	base     uint64
+	changeID string
+	wait     time.Duration
 
 	version uint64
 	method  string
@@ -63,11 +64,11 @@
 
 	fingerprint string
 
-	dataCentre string
-	over       bool
+	dataCentre    string
+	endEvacuation bool
 }
 
-// command is a subcommand with its action.
+// command is a subcommand and the function that runs it.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(c *client, o *options) error
@@ -88,10 +89,11 @@
 			return exitCode(c.run(newClient(o), o))
 		}
 	}
-	fmt.Fprintln(os.Stderr, "lycheehall: give a command; --help lists them")
+	fmt.Fprintln(os.Stderr, "lycheehall: a command is required; --help lists the commands")
 	return exitInvalid
 }
 
+// exitCode prints an error to standard error and returns its exit code.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
@@ -104,13 +106,13 @@
 	return exitFailed
 }
 
-// parse declares the commands and reads the command line.
+// parse declares the flags and commands, parses the command line and returns the commands.
 func parse(o *options) []command {
 	flaggy.SetName("lycheehall")
 	flaggy.SetDescription("Operates a deployment of lycheehall.")
 	flaggy.SetVersion(version)
 	flaggy.String(&o.admin, "a", "admin", "Address of an instance's operator listener.")
-	flaggy.String(&o.token, "", "token", "Operator token; default $LYCHEEHALL_TOKEN.")
+	flaggy.String(&o.token, "", "token", "Operator token; default: $LYCHEEHALL_TOKEN.")
 	flaggy.Bool(&o.json, "", "json", "Print JSON.")
 	var list []command
 	add := func(name, description string, run func(*client, *options) error) *flaggy.Subcommand {
@@ -120,44 +122,46 @@
 		list = append(list, command{sub, run})
 		return sub
 	}
-	check := add("check", "Check a file of rules; nothing is changed.", runCheck)
-	check.AddPositionalValue(&o.file, "file", 1, true, "File of rules.")
-	apply := add("apply", "Put a file of rules in force and wait until it is so everywhere.", runApply)
-	apply.AddPositionalValue(&o.file, "file", 1, true, "File of rules.")
-	declareChange(apply, o)
+	check := add("check", "Check a rules file; nothing is changed.", runCheck)
+	check.AddPositionalValue(&o.file, "file", 1, true, "Rules file.")
+	apply := add("apply", "Put a rules file in force and wait until every instance applies it.", runApply)
+	apply.AddPositionalValue(&o.file, "file", 1, true, "Rules file.")
+	addChangeFlags(apply, o)
 	add("show", "Print the rules in force.", runShow)
-	diff := add("diff", "Compare a file with the rules in force.", runDiff)
-	diff.AddPositionalValue(&o.file, "file", 1, true, "File of rules.")
+	diff := add("diff", "Compare a rules file with the rules in force.", runDiff)
+	diff.AddPositionalValue(&o.file, "file", 1, true, "Rules file.")
 	add("history", "List the versions of the rules.", runHistory)
 	rollback := add("rollback", "Put an earlier version in force again, as a new version.", runRollback)
-	rollback.UInt64(&o.version, "v", "to", "Version to go back to.")
-	declareChange(rollback, o)
-	add("status", "Show instances, targets and versions in force, and how old they are.", runStatus)
-	declareExplain(add("explain", "Tell what would happen to a request.", runExplain), o)
-	evacuate := add("evacuate", "Send nothing to the targets of a data centre.", runEvacuate)
+	rollback.UInt64(&o.version, "v", "to", "Version to restore.")
+	addChangeFlags(rollback, o)
+	add("status", "Show instances, targets and the versions in force, and how old this information is.", runStatus)
+	addExplainFlags(add("explain", "Show how a request would be routed.", runExplain), o)
+	evacuate := add("evacuate", "Stop sending requests to the targets of a data centre.", runEvacuate)
 	evacuate.AddPositionalValue(&o.dataCentre, "data-centre", 1, true, "Name of the data centre.")
-	evacuate.Bool(&o.over, "", "over", "Take the data centre back.")
-	add("quarantine", "List the requests that reach no target, since targets have ended under them.", runQuarantine)
-	release := add("release", "Let a quarantined request in again.", runRelease)
+	evacuate.Bool(&o.endEvacuation, "", "over", "End the evacuation.")
+	add("quarantine", "List the quarantined requests: they are sent to no target, since targets have crashed on them.", runQuarantine)
+	release := add("release", "Release a request from quarantine.", runRelease)
 	release.AddPositionalValue(&o.fingerprint, "fingerprint", 1, true, "Fingerprint of the request.")
 	add("timeline", "Print the events of all instances in causal order.", runTimeline)
-	trace := add("trace", "Tell how a request was decided, and what its instance learned shortly before.", runTrace)
+	trace := add("trace", "Show how a request was decided, and what its instance learned shortly before.", runTrace)
 	trace.AddPositionalValue(&o.request, "request", 1, true, "Id of the request.")
-	trace.StringSlice(&o.logs, "l", "log", "File of log lines to search in place of the running instances; may be repeated.")
+	trace.StringSlice(&o.logs, "l", "log", "Log file to search instead of the running instances; may be repeated.")
 	flaggy.Parse()
 	return list
 }
 
-func declareChange(sub *flaggy.Subcommand, o *options) {
-	sub.UInt64(&o.base, "b", "base", "Version the change starts from; default: the one in force.")
-	sub.String(&o.change, "", "change-id", "Id of the change; repeat it to retry after a lost answer.")
-	sub.String(&o.author, "", "author", "Who makes the change.")
-	sub.Duration(&o.wait, "w", "wait", "How long to wait until it is in force everywhere.")
+// addChangeFlags declares the flags of a command that changes the rules.
+func addChangeFlags(sub *flaggy.Subcommand, o *options) {
+	sub.UInt64(&o.base, "b", "base", "Version that the change is based on; default: the one in force.")
+	sub.String(&o.changeID, "", "change-id", "Id of the change; to retry after a lost response, give the same one.")
+	sub.String(&o.author, "", "author", "Author of the change.")
+	sub.Duration(&o.wait, "w", "wait", "How long to wait until the change is in force at every instance.")
 }
 
-func declareExplain(sub *flaggy.Subcommand, o *options) {
+// addExplainFlags declares the arguments and flags that describe a request.
+func addExplainFlags(sub *flaggy.Subcommand, o *options) {
 	sub.AddPositionalValue(&o.method, "method", 1, true, "HTTP method.")
 	sub.AddPositionalValue(&o.path, "path", 2, true, "Path with query.")
 	sub.StringSlice(&o.header, "H", "header", "Header as Name: value; may be repeated.")
-	sub.String(&o.host, "", "host", "Host that the caller addresses.")
+	sub.String(&o.host, "", "host", "Host that the request is for.")
 }
--- a/cmd/lycheehall/operate.go
+++ b/cmd/lycheehall/operate.go
@@ -19,8 +19,8 @@
 	return enc.Encode(v)
 }
 
-// report prints a result as JSON or as text.
-func report(o *options, result any, format string, args ...any) error {
+// printResult prints a result as JSON, or the formatted text.
+func printResult(o *options, result any, format string, args ...any) error {
 	if o.json {
 		return printJSON(result)
 	}
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// progressWriter returns where progress goes: not among the JSON.
+// progressWriter returns where progress is printed: standard error if standard output is for JSON.
 func progressWriter(o *options) io.Writer {
 	if o.json {
 		return os.Stderr
@@ -46,10 +46,10 @@
 	}
 	fmt.Printf("as seen by %s: leader %s, term %d, rules %d, known %d ms ago\n", s.Instance, s.Leader, s.Term, s.Rules, s.KnownMs)
 	for _, dataCentre := range s.Evacuated {
-		fmt.Printf("evacuated, its targets get nothing: %s\n", dataCentre)
+		fmt.Printf("evacuated, its targets get no requests: %s\n", dataCentre)
 	}
 	for _, note := range s.NotUnderstood {
-		fmt.Printf("not understood, its callers are refused: %s\n", note)
+		fmt.Printf("rule not understood, its requests are refused: %s\n", note)
 	}
 	for _, i := range s.Instances {
 		if i.Missing {
@@ -93,7 +93,7 @@
 	for _, line := range o.header {
 		name, value, found := strings.Cut(line, ":")
 		if !found {
-			return failf(exitInvalid, "header %q: write Name: value", line)
+			return exitErrorf(exitInvalid, "header %q: it must have the form Name: value", line)
 		}
 		header.Add(strings.TrimSpace(name), strings.TrimSpace(value))
 	}
--- a/cmd/lycheehall/rules.go
+++ b/cmd/lycheehall/rules.go
@@ -12,11 +12,11 @@
 	"lycheehall.example/lycheehall/transport/admin"
 )
 
-// readRules reads and checks a file.
+// readRules reads a rules file and returns its text if it is valid.
 func readRules(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", failf(exitInvalid, "lycheehall: %w", err)
+		return "", exitErrorf(exitInvalid, "lycheehall: %w", err)
 	}
 	if _, err := rules.Parse(path, string(text)); err != nil {
 		return "", exitError{exitInvalid, err}
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// checkResult is what check prints as JSON.
+// checkResult is the JSON output of check.
 type checkResult struct {
 	File     string `json:"file"`
 	Services int    `json:"services"`
 	Rules    int    `json:"rules"`
 }
 
-// changeResult is what apply and rollback print as JSON; progress goes to standard error.
+// changeResult is the JSON output of apply and rollback; progress goes to standard error.
 type changeResult struct {
 	admin.Result
 	ChangeID string `json:"change_id"`
@@ -55,11 +55,12 @@
 	if err != nil {
 		return err
 	}
-	return change(c, o, text)
+	return applyText(c, o, text)
 }
 
-// change puts a text in force and waits until it is so everywhere.
-func change(c *client, o *options, text string) error {
+// applyText stores the text as the next version of the rules and waits until it is in force at every
+// instance. Without a base it takes the version in force, and without a change id it makes one.
+func applyText(c *client, o *options, text string) error {
 	if o.base == 0 {
 		var current rulestore.Record
 		if err := c.get("/v1/rules", &current); err != nil {
@@ -67,32 +68,32 @@
 		}
 		o.base = current.Version
 	}
-	if o.change == "" {
-		o.change = rand.Text()
+	if o.changeID == "" {
+		o.changeID = rand.Text()
 	}
-	req := admin.ApplyRequest{Base: o.base, ChangeID: o.change, Author: o.author, Text: text}
+	req := admin.ApplyRequest{Base: o.base, ChangeID: o.changeID, Author: o.author, Text: text}
 	var res admin.Result
 	if err := c.do("POST", "/v1/rules", req, &res); err != nil {
-		return fmt.Errorf("%w\n(change id %s)", err, o.change)
+		return fmt.Errorf("%w\n(change id %s)", err, o.changeID)
 	}
-	if err := report(o, changeResult{res, o.change}, "accepted as version %d (change id %s)\n", res.Version, o.change); err != nil {
+	if err := printResult(o, changeResult{res, o.changeID}, "accepted as version %d (change id %s)\n", res.Version, o.changeID); err != nil {
 		return err
 	}
-	return waitEverywhere(c, o, res.Version)
+	return waitUntilInForce(c, o, res.Version)
 }
 
-// pollEvery is the time between looks whether a version is in force everywhere.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the time between two status requests while waiting for a version.
+const pollInterval = 100 * time.Millisecond
 
-// waitEverywhere reports progress until every instance applies the version.
-func waitEverywhere(c *client, o *options, version uint64) error {
+// waitUntilInForce prints progress until every instance applies the version, or the wait has ended.
+func waitUntilInForce(c *client, o *options, version uint64) error {
 	deadline := time.Now().Add(o.wait)
 	last := ""
 	for {
 		var s admin.Status
 		err := c.get("/v1/status", &s)
 		if err == nil {
-			progress, behind := inForce(s, version)
+			progress, behind := rolloutProgress(s, version)
 			if progress != last {
 				fmt.Fprintln(progressWriter(o), progress)
 				last = progress
@@ -103,16 +104,17 @@
 		}
 		if time.Now().After(deadline) {
 			if err != nil {
-				return failf(exitNotEverywhere, "the status cannot be read: %w", err)
+				return exitErrorf(exitNotEverywhere, "accepted, but the status cannot be read: %w", err)
 			}
-			_, behind := inForce(s, version)
-			return failf(exitNotEverywhere, "not yet in force at: %s", strings.Join(behind, ", "))
+			_, behind := rolloutProgress(s, version)
+			return exitErrorf(exitNotEverywhere, "accepted, but not yet in force at: %s", strings.Join(behind, ", "))
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func inForce(s admin.Status, version uint64) (progress string, behind []string) {
+// rolloutProgress returns a line of progress and the instances that have an older version.
+func rolloutProgress(s admin.Status, version uint64) (progress string, behind []string) {
 	for _, i := range s.Instances {
 		if i.Rules < version {
 			behind = append(behind, i.ID)
@@ -173,8 +175,8 @@
 	}
 	for _, r := range list {
 		if r.Version == o.version {
-			return change(c, o, r.Text)
+			return applyText(c, o, r.Text)
 		}
 	}
-	return failf(exitInvalid, "version %d is not in the history; --to takes one that the command history lists", o.version)
+	return exitErrorf(exitInvalid, "version %d is not in the history; the command history lists the versions that --to accepts", o.version)
 }
--- a/cmd/lycheehall/trace.go
+++ b/cmd/lycheehall/trace.go
@@ -12,32 +12,32 @@
 	"lycheehall.example/lycheehall/timeline"
 )
 
-// logLine is one line that an instance wrote.
+// logLine is a log line of an instance.
 type logLine struct {
 	Message   string         `json:"message"`
 	Timestamp time.Time      `json:"timestamp"`
 	Fields    map[string]any `json:"fields"`
 }
 
-// maxLine bounds the lines of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the length of the longest log line that can be read.
+const maxLineBytes = 1 << 20
 
-// around is the time before a request's line from which changes of belief are told with it.
-const around = 5 * time.Second
+// traceWindow is how long before a request's line the other events of its instance are shown too.
+const traceWindow = 5 * time.Second
 
-// traceLogs tells how a request was decided from collected logs.
+// traceLogs prints how a request was decided, from collected log files.
 func traceLogs(o *options) error {
 	var all []timeline.Event
 	for _, path := range o.logs {
 		events, err := readLog(path)
 		if err != nil {
-			return failf(exitInvalid, "lycheehall: %w", err)
+			return exitErrorf(exitInvalid, "lycheehall: %w", err)
 		}
 		all = append(all, events...)
 	}
-	found := concerning(all, o.request)
+	found := eventsOfRequest(all, o.request)
 	if len(found) == 0 {
-		return failf(exitFailed, "no line names the request %s", o.request)
+		return exitErrorf(exitFailed, "no log line names the request %s", o.request)
 	}
 	if o.json {
 		return printJSON(found)
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// readLog reads the lines of a file; what is not a line of lycheehall's is passed over. A
-// text before the JSON, such as a collector's, is allowed.
+// readLog reads the log lines of a file. Other lines are skipped. Text before the JSON, such as the
+// prefix of a log collector, is ignored.
 func readLog(path string) ([]timeline.Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -56,19 +56,20 @@
 	defer f.Close()
 	var events []timeline.Event
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, text, found := strings.Cut(scanner.Text(), "{")
 		var line logLine
 		if !found || json.Unmarshal([]byte("{"+text), &line) != nil || line.Message == "" {
 			continue
 		}
-		events = append(events, eventOf(line))
+		events = append(events, toEvent(line))
 	}
 	return events, scanner.Err()
 }
 
-func eventOf(line logLine) timeline.Event {
+// toEvent converts a log line to an event, with its fields sorted by name.
+func toEvent(line logLine) timeline.Event {
 	e := timeline.Event{Time: line.Timestamp, Kind: line.Message}
 	names := make([]string, 0, len(line.Fields))
 	for name := range line.Fields {
@@ -91,9 +92,9 @@
 	return e
 }
 
-// concerning picks the lines that name the request, and what the instance that decided it
-// learned shortly before.
-func concerning(all []timeline.Event, request string) []timeline.Event {
+// eventsOfRequest returns the events that name the request, and those of the instance that decided it
+// from up to traceWindow before, by time.
+func eventsOfRequest(all []timeline.Event, request string) []timeline.Event {
 	var decided []timeline.Event
 	for _, e := range all {
 		if slices.Contains(e.Fields, timeline.Field{Name: "request", Value: request}) {
@@ -102,7 +103,7 @@
 	}
 	var out []timeline.Event
 	for _, e := range all {
-		if slices.ContainsFunc(decided, func(d timeline.Event) bool { return related(e, d) }) {
+		if slices.ContainsFunc(decided, func(d timeline.Event) bool { return isRelated(e, d) }) {
 			out = append(out, e)
 		}
 	}
@@ -110,10 +111,12 @@
 	return out
 }
 
-func related(e, decided timeline.Event) bool {
+// isRelated reports whether an event is shown with one that names the request: it is that event, or
+// one of another kind from the same instance, up to traceWindow before. Other requests are left out.
+func isRelated(e, decided timeline.Event) bool {
 	if e.Kind == decided.Kind {
 		return slices.Equal(e.Fields, decided.Fields)
 	}
 	before := decided.Time.Sub(e.Time)
-	return e.Instance == decided.Instance && e.Kind != "request" && before >= 0 && before <= around
+	return e.Instance == decided.Instance && e.Kind != "request" && before >= 0 && before <= traceWindow
 }
