--- a/cmd/lycheehalld/main.go
+++ b/cmd/lycheehalld/main.go
@@ -1,4 +1,4 @@
-// Command lycheehalld is one instance of lycheehall.
+// Command lycheehalld runs an instance of lycheehall.
 package main
 
 import (
@@ -15,23 +15,23 @@
 	"lycheehall.example/lycheehall/settings"
 )
 
-// Exit codes.
+// Exit codes. exitSettings means that the settings, the flags or the initial rules are invalid.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// version is printed by --version.
+// version is what --version prints.
 const version = "0.2.0"
 
-// options are the flags of the command.
+// options holds the values of the flags.
 type options struct {
-	settings      string
+	settingsFile  string
 	check         bool
 	printDefaults bool
 	standalone    bool
-	rules         string
+	rulesFile     string
 }
 
 func main() { os.Exit(run()) }
@@ -41,22 +41,22 @@
 	flaggy.SetName("lycheehalld")
 	flaggy.SetDescription("Routes callers' requests to the targets that own their keys.")
 	flaggy.SetVersion(version)
-	flaggy.String(&o.settings, "s", "settings", "Settings file.")
+	flaggy.String(&o.settingsFile, "s", "settings", "Settings file.")
 	flaggy.Bool(&o.check, "", "check", "Check the settings and exit.")
 	flaggy.Bool(&o.printDefaults, "", "print-defaults", "Print a settings file with the defaults and exit.")
 	flaggy.Bool(&o.standalone, "", "standalone", "Run with an embedded store and sample targets.")
-	flaggy.String(&o.rules, "", "rules", "Rules for --standalone in place of the example.")
+	flaggy.String(&o.rulesFile, "", "rules", "Rules file for --standalone; default: the example rules.")
 	flaggy.Parse()
 	switch {
 	case o.printDefaults:
 		return printDefaults()
 	case o.standalone:
-		return serveStandalone(o.rules)
-	case o.settings == "":
-		fmt.Fprintln(os.Stderr, "lycheehalld: give --settings FILE, or --standalone")
+		return serveStandalone(o.rulesFile)
+	case o.settingsFile == "":
+		fmt.Fprintln(os.Stderr, "lycheehalld: --settings FILE or --standalone is required")
 		return exitSettings
 	}
-	s, err := settings.Load(o.settings)
+	s, err := settings.Load(o.settingsFile)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
@@ -65,9 +65,10 @@
 		fmt.Println("the settings are valid")
 		return exitOK
 	}
-	return serve(o.settings, s)
+	return serve(o.settingsFile, s)
 }
 
+// printDefaults prints the default settings as a settings file.
 func printDefaults() int {
 	text, err := settings.Print(settings.Default())
 	if err != nil {
@@ -78,7 +79,7 @@
 	return exitOK
 }
 
-// serve runs an instance on a platform.
+// serve runs an instance with the settings, which were read from path.
 func serve(path string, s settings.Settings) int {
 	p := platform.New(s.Platform)
 	if s.Rules == settings.RulesFromStore {
@@ -93,25 +94,25 @@
 	return serveUntilSignal(i)
 }
 
-// serveUntilSignal serves until the first signal that ends the process, then shuts down
-// gracefully; a second one ends it at once. SIGHUP has the settings read again.
+// serveUntilSignal serves until SIGTERM or SIGINT, then shuts down gracefully. A second signal ends
+// the graceful shutdown at once. SIGHUP reloads the settings.
 func serveUntilSignal(i *instance.Instance) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	i.Start()
-	awaitEnd(signals, i)
+	awaitTermination(signals, i)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		awaitEnd(signals, i)
+		awaitTermination(signals, i)
 		cancel()
 	}()
 	i.Stop(ctx)
 	return exitOK
 }
 
-// awaitEnd waits for a signal that ends the process.
-func awaitEnd(signals <-chan os.Signal, i *instance.Instance) {
+// awaitTermination waits for SIGTERM or SIGINT. It reloads the settings at each SIGHUP.
+func awaitTermination(signals <-chan os.Signal, i *instance.Instance) {
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			return
--- a/cmd/lycheehalld/standalone.go
+++ b/cmd/lycheehalld/standalone.go
@@ -15,7 +15,7 @@
 	"lycheehall.example/lycheehall/state/rulestore"
 )
 
-// sampleTargets says how many targets of each service run in the standalone process.
+// sampleTargets lists the services of the standalone process and the number of targets of each.
 var sampleTargets = []struct {
 	service string
 	keyed   bool
@@ -27,7 +27,8 @@
 	{"counter", false, 2},
 }
 
-// standaloneSecret guards listeners on the loopback interface only.
+// standaloneSecret is the operator token. A fixed one is enough, since the listeners are on the
+// loopback interface only.
 const standaloneSecret = "standalone-secret"
 
 // serveStandalone runs an instance, a store and sample targets in one process.
@@ -38,7 +39,7 @@
 		return exitFailed
 	}
 	p := platform.NewWithOwnRules(s.Platform)
-	if err := firstRules(p, rulesFile); err != nil {
+	if err := storeInitialRules(p, rulesFile); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
@@ -52,7 +53,8 @@
 	return serveUntilSignal(i)
 }
 
-// standaloneSettings starts the store and the targets.
+// standaloneSettings starts the store and the targets and returns the settings of an instance that
+// uses them.
 func standaloneSettings() (settings.Settings, error) {
 	s := settings.Default()
 	s.Name = "standalone"
@@ -61,7 +63,7 @@
 	for _, sample := range sampleTargets {
 		for n := range sample.count {
 			target := standin.NewTarget(fmt.Sprintf("%s-%d", sample.service, n+1), sample.service, sample.keyed)
-			address, err := serveLocal(target.Handler())
+			address, err := serveOnLoopback(target.Handler())
 			if err != nil {
 				return s, err
 			}
@@ -70,28 +72,30 @@
 			}
 		}
 	}
-	address, err := serveLocal(store.Handler())
+	address, err := serveOnLoopback(store.Handler())
 	s.Platform = address
 	return s, err
 }
 
-// serveLocal serves on a free port of the loopback interface until the process ends.
-func serveLocal(h http.Handler) (string, error) {
+// serveOnLoopback serves on a free port of the loopback interface until the process ends, and returns
+// the address.
+func serveOnLoopback(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("standalone: %w", err)
+		return "", fmt.Errorf("standalone: listen: %w", err)
 	}
 	go http.Serve(l, h)
 	return l.Addr().String(), nil
 }
 
-// firstRules puts the rules to start with into the store: those of a file, or the example.
-func firstRules(p instance.Platform, file string) error {
+// storeInitialRules writes the first version of the rules to the store, from a file if one is given,
+// otherwise the example rules.
+func storeInitialRules(p instance.Platform, file string) error {
 	text := examples.Rules
 	if file != "" {
 		read, err := os.ReadFile(file)
 		if err != nil {
-			return fmt.Errorf("standalone: %w", err)
+			return fmt.Errorf("standalone: read the rules: %w", err)
 		}
 		text = string(read)
 	}
