--- a/cmd/lycheehall-standin/main.go
+++ b/cmd/lycheehall-standin/main.go
@@ -1,5 +1,5 @@
-// Command lycheehall-standin runs the stand-ins for the systems around lycheehall as
-// processes of their own: the platform's store, or a target.
+// Command lycheehall-standin runs a stand-in for a system around lycheehall as a separate process:
+// the platform's store or a target.
 package main
 
 import (
@@ -19,16 +19,17 @@
 	"lycheehall.example/lycheehall/platform/standin"
 )
 
-// version is printed by --version.
+// version is what --version prints.
 const version = "0.2.0"
 
-// heartbeat is the time between a target's registrations; an entry that was not renewed for
-// three of them is removed.
-const heartbeat = 500 * time.Millisecond
+// registerInterval is the time between two registrations of a target. The platform removes an entry
+// that was not renewed for three intervals.
+const registerInterval = 500 * time.Millisecond
 
-// drainFor is how long a target serves on after it has said that it leaves.
-const drainFor = 5 * time.Second
+// drainTime is how long a target still serves requests after it has announced that it is leaving.
+const drainTime = 5 * time.Second
 
+// options holds the values of all flags.
 type options struct {
 	listen     string
 	platform   string
@@ -36,11 +37,11 @@
 	service    string
 	dataCentre string
 	unkeyed    bool
-	work       time.Duration
+	workTime   time.Duration
 	advertise  string
-	record     string
-	plant      string
-	cold       time.Duration
+	recordFile string
+	defect     string
+	coldTime   time.Duration
 	coldRate   float64
 	disturbed  bool
 }
@@ -48,25 +49,25 @@
 func main() {
 	o := options{listen: "127.0.0.1:8090", platform: "127.0.0.1:8090", dataCentre: "dc1"}
 	flaggy.SetName("lycheehall-standin")
-	flaggy.SetDescription("Stand-ins for the platform's store and for targets.")
+	flaggy.SetDescription("Runs a stand-in for the platform's store or for a target.")
 	flaggy.SetVersion(version)
 	flaggy.String(&o.listen, "", "listen", "Address to listen on, as IP:port.")
 	runPlatform := flaggy.NewSubcommand("platform")
-	runPlatform.Description = "The store, with the registry of targets."
+	runPlatform.Description = "Run the store, with the registry of targets."
 	runTarget := flaggy.NewSubcommand("target")
-	runTarget.Description = "A target that owns keys."
+	runTarget.Description = "Run a target, which owns keys unless it is unkeyed."
 	runTarget.String(&o.platform, "", "platform", "Address of the platform.")
 	runTarget.String(&o.id, "", "id", "Id of the target.")
 	runTarget.String(&o.service, "", "service", "Service that the target belongs to.")
-	runTarget.String(&o.dataCentre, "", "data-centre", "Data centre that the target runs in.")
-	runTarget.Bool(&o.unkeyed, "", "unkeyed", "The service is not divided by key.")
-	runTarget.Duration(&o.work, "", "work", "How long a request takes.")
-	runTarget.String(&o.advertise, "", "advertise", "Address to register in place of the one listened on.")
-	runTarget.String(&o.record, "", "record", "File to which a line is added for each run.")
-	runTarget.Duration(&o.cold, "", "cold", "How long the target is cold after its start.")
-	runTarget.Float64(&o.coldRate, "", "cold-rate", "Requests a second that it bears while it is cold; it ends above that.")
-	runTarget.Bool(&o.disturbed, "", "disturbed", "Others on its machine slow the target down at times.")
-	runTarget.String(&o.plant, "", "plant", "Fault to have: twice, denied, foreign or fence.")
+	runTarget.String(&o.dataCentre, "", "data-centre", "Data centre of the target.")
+	runTarget.Bool(&o.unkeyed, "", "unkeyed", "The service is not keyed.")
+	runTarget.Duration(&o.workTime, "", "work", "How long a request takes.")
+	runTarget.String(&o.advertise, "", "advertise", "Address to register; default: the address listened on.")
+	runTarget.String(&o.recordFile, "", "record", "File to append a line to for each request that is run.")
+	runTarget.Duration(&o.coldTime, "", "cold", "How long the target is cold after it has started.")
+	runTarget.Float64(&o.coldRate, "", "cold-rate", "Requests a second that the target takes while it is cold; it exits when it gets clearly more; 0: no limit.")
+	runTarget.Bool(&o.disturbed, "", "disturbed", "Slow the target down at times, as other load on its machine would.")
+	runTarget.String(&o.defect, "", "plant", "Deliberate defect of the target: twice, denied, foreign or fence.")
 	flaggy.AttachSubcommand(runPlatform, 1)
 	flaggy.AttachSubcommand(runTarget, 1)
 	flaggy.Parse()
@@ -77,7 +78,7 @@
 	case runTarget.Used:
 		err = serveTarget(o)
 	default:
-		err = fmt.Errorf("give platform or target; --help lists the flags")
+		err = fmt.Errorf("platform or target is required; --help lists the flags")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -85,33 +86,36 @@
 	}
 }
 
+// servePlatform runs the store and the registry.
 func servePlatform(o options) error {
 	l, err := net.Listen("tcp", o.listen)
 	if err != nil {
 		return err
 	}
 	fmt.Println("platform on", l.Addr())
-	return http.Serve(l, standin.NewRegistry(standin.NewStore(), platform.TargetTable, 3*heartbeat).Handler())
+	return http.Serve(l, standin.NewRegistry(standin.NewStore(), platform.TargetTable, 3*registerInterval).Handler())
 }
 
+// serveTarget runs a target and registers it until the process gets SIGTERM or SIGINT and drainTime has
+// passed.
 func serveTarget(o options) error {
 	if o.id == "" || o.service == "" {
-		return fmt.Errorf("give --id and --service")
+		return fmt.Errorf("--id and --service are required")
 	}
 	l, err := net.Listen("tcp", o.listen)
 	if err != nil {
 		return err
 	}
-	// A target that is started again has the name of before, and holds nothing.
+	// A restarted target has the same id as before but owns no keys. Born tells the two processes apart.
 	target := standin.NewTarget(o.id, o.service, !o.unkeyed)
 	target.Born = time.Now().UnixMilli()
-	target.Work = o.work
-	target.Plant = standin.Plant(o.plant)
+	target.Work = o.workTime
+	target.Plant = standin.Plant(o.defect)
 	target.DataCentre, target.Disturbed = o.dataCentre, o.disturbed
-	target.Cold, target.ColdRate = time.Now().Add(o.cold), o.coldRate
+	target.Cold, target.ColdRate = time.Now().Add(o.coldTime), o.coldRate
 	target.Crash = func() { os.Exit(1) }
-	if o.record != "" {
-		if err := record(target, o.record); err != nil {
+	if o.recordFile != "" {
+		if err := recordRuns(target, o.recordFile); err != nil {
 			return err
 		}
 	}
@@ -129,7 +133,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	draining := false
 	var stopAt time.Time
-	ticker := time.NewTicker(heartbeat)
+	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
 	for !draining || time.Now().Before(stopAt) {
 		if err := register(o.platform, o.id, target.Entry(address, o.dataCentre, draining)); err != nil {
@@ -140,14 +144,14 @@
 		case <-signals:
 			draining = true
 			target.SetLeaving()
-			stopAt = time.Now().Add(drainFor)
+			stopAt = time.Now().Add(drainTime)
 		}
 	}
 	return nil
 }
 
-// record has a target add a line to a file for each run.
-func record(target *standin.Target, path string) error {
+// recordRuns makes a target append a JSON line to a file for each run.
+func recordRuns(target *standin.Target, path string) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// register writes the target's entry.
+// register sends the target's entry to the platform's registry.
 func register(platformAddress, id string, entry map[string]any) error {
 	text, err := json.Marshal(entry)
 	if err != nil {
