--- a/cmd/lycheehall-soak/main.go
+++ b/cmd/lycheehall-soak/main.go
@@ -1,4 +1,4 @@
-// Command lycheehall-soak plays seeds of random faults against real processes; see package
+// Command lycheehall-soak runs soak tests, which inject random faults into real processes; see package
 // soak.
 package main
 
@@ -13,47 +13,48 @@
 	"lycheehall.example/lycheehall/soak"
 )
 
+// options holds the values of all flags.
 type options struct {
-	programs  string
-	dir       string
-	first     uint64
-	count     int
-	length    time.Duration
-	instances int
-	targets   int
-	plant     string
-	quiet     bool
+	programDir string
+	dir        string
+	firstSeed  uint64
+	count      int
+	length     time.Duration
+	instances  int
+	targets    int
+	defect     string
+	quiet      bool
 }
 
 func main() {
-	o := options{programs: "bin", first: uint64(time.Now().Unix()), count: 1, length: 20 * time.Second, instances: 4, targets: 5}
+	o := options{programDir: "bin", firstSeed: uint64(time.Now().Unix()), count: 1, length: 20 * time.Second, instances: 4, targets: 5}
 	flaggy.SetName("lycheehall-soak")
-	flaggy.SetDescription("Injects random faults into real processes and checks the promises to callers.")
-	flaggy.String(&o.programs, "", "programs", "Folder with the built programs.")
-	flaggy.String(&o.dir, "", "dir", "Folder for logs and records; default: a new one.")
-	flaggy.UInt64(&o.first, "s", "seed", "First seed; default: a fresh one.")
+	flaggy.SetDescription("Injects random faults into real processes and checks the guarantees to callers.")
+	flaggy.String(&o.programDir, "", "programs", "Directory of the built programs.")
+	flaggy.String(&o.dir, "", "dir", "Directory for logs and records; default: a new one.")
+	flaggy.UInt64(&o.firstSeed, "s", "seed", "First seed; default: the current Unix time in seconds.")
 	flaggy.Int(&o.count, "n", "count", "Number of seeds.")
-	flaggy.Duration(&o.length, "l", "length", "How long faults are injected for each seed.")
+	flaggy.Duration(&o.length, "l", "length", "How long to inject faults for each seed.")
 	flaggy.Int(&o.instances, "", "instances", "Number of instances.")
 	flaggy.Int(&o.targets, "", "targets", "Number of targets.")
-	flaggy.String(&o.plant, "", "plant", "Fault of the targets that must be noticed: twice, denied, foreign or fence.")
-	flaggy.Bool(&o.quiet, "q", "quiet", "Print only what is wrong and the end.")
+	flaggy.String(&o.defect, "", "plant", "Deliberate defect of the targets, which the checks must find: twice, denied, foreign or fence.")
+	flaggy.Bool(&o.quiet, "q", "quiet", "Print only results, not progress.")
 	flaggy.Parse()
 	failed := 0
 	for i := range o.count {
-		if !play(o, o.first+uint64(i)) {
+		if !runSeed(o, o.firstSeed+uint64(i)) {
 			failed++
 		}
 	}
-	fmt.Printf("%d seeds, %d with something wrong\n", o.count, failed)
+	fmt.Printf("%d seeds, %d failed\n", o.count, failed)
 	if failed > 0 {
 		os.Exit(1)
 	}
 }
 
-// play plays one seed and reports whether all was well. The logs of one that failed are kept.
-func play(o options, seed uint64) bool {
-	dir, err := seedDir(o, seed)
+// runSeed runs one seed and reports whether it passed. The logs of a failed run are kept.
+func runSeed(o options, seed uint64) bool {
+	dir, err := makeSeedDir(o, seed)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
@@ -64,14 +65,14 @@
 		}
 	}
 	result, err := soak.Run(soak.Options{
-		Seed: seed, Size: soak.Size{Instances: o.instances, Targets: o.targets, Defect: o.plant},
-		Length: o.length, ProgramDir: o.programs, Dir: dir, Progress: progress,
+		Seed: seed, Size: soak.Size{Instances: o.instances, Targets: o.targets, Defect: o.defect},
+		Length: o.length, ProgramDir: o.programDir, Dir: dir, Progress: progress,
 	})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	fmt.Printf("seed %d: %d faults, %v, %d wrong\n", seed, result.Faults, result.Counts, len(result.Violations))
+	fmt.Printf("seed %d: %d faults, %v, %d violations\n", seed, result.Faults, result.Counts, len(result.Violations))
 	for _, w := range result.Violations[:min(len(result.Violations), 10)] {
 		fmt.Println("  ", w)
 	}
@@ -85,7 +86,8 @@
 	return true
 }
 
-func seedDir(o options, seed uint64) (string, error) {
+// makeSeedDir creates the directory for the logs and records of a seed.
+func makeSeedDir(o options, seed uint64) (string, error) {
 	if o.dir == "" {
 		return os.MkdirTemp("", fmt.Sprintf("lycheehall-soak-%d-*", seed))
 	}
