--- a/soak/callers.go
+++ b/soak/callers.go
@@ -12,62 +12,63 @@
 	"lycheehall.example/lycheehall/platform"
 )
 
-// Outcome is what a caller may conclude from the answer to its request.
+// Outcome is what a caller can conclude from the response to its request.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	// Answered: a whole answer that a target has signed.
+	// Answered: the caller got a complete answer that a target has signed.
 	Answered Outcome = "answered"
-	// NotRun: the promise that the request did not run and never will.
+	// NotRun: the response guarantees that the request did not run and never will.
 	NotRun Outcome = "not run"
-	// Unknown: anything else.
+	// Unknown: any other response or none; the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Told is what a caller was told about one request.
-type Told struct {
+// CallResult is the result of one request of a caller.
+type CallResult struct {
 	Outcome Outcome
 	Status  int
-	// Own says that the answer names the request.
-	Own bool
-	// Twice says that the request may run twice.
-	Twice bool
-	// Instance is the address that it was sent to, Sent when, and Heard when the answer was there.
-	Instance    string
-	Sent, Heard time.Time
-	// Leaving says that the target said with its answer that it leaves, Limited that it named a limit for
-	// all instances together.
+	// OwnAnswer reports that the answer names this request and no other.
+	OwnAnswer bool
+	// Idempotent reports that the request may run twice.
+	Idempotent bool
+	// Instance is the address that the request was sent to. Sent is the time just before that, and
+	// Received the time at which the complete response had arrived.
+	Instance       string
+	Sent, Received time.Time
+	// Leaving reports that the target announced in its answer that it is leaving. Limited reports that
+	// it announced a limit for all instances together.
 	Leaving bool
 	Limited bool
 }
 
-// Callers make requests all the time and remember what they are told.
+// Callers make requests continuously and record the results.
 type Callers struct {
 	addresses []string
 	client    *http.Client
 	stop      chan struct{}
 	running   sync.WaitGroup
 
-	mu   sync.Mutex
-	told map[string]Told
+	mu      sync.Mutex
+	results map[string]CallResult
 }
 
 const (
-	// callerCount is how many callers there are.
+	// callerCount is the number of callers.
 	callerCount = 16
-	// callerKeys is how many households they ask for.
+	// callerKeys is the number of keys (households) that callers choose from.
 	callerKeys = 60
-	// callerTimeout is how long a caller waits.
+	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 3 * time.Second
-	// callerPause is the time between a caller's requests.
+	// callerPause is the time from the response to a request to the next request of the same caller.
 	callerPause = 10 * time.Millisecond
 )
 
-// NewCallers starts callers of the instances at the addresses.
+// NewCallers starts callers, which send requests to random instances of those at the addresses.
 func NewCallers(addresses []string) *Callers {
 	c := &Callers{
-		addresses: addresses, stop: make(chan struct{}), told: map[string]Told{},
+		addresses: addresses, stop: make(chan struct{}), results: map[string]CallResult{},
 		client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: callerCount}},
 	}
 	for n := range callerCount {
@@ -76,6 +77,7 @@
 	return c
 }
 
+// run makes requests until the callers are stopped. Two of three are bookings.
 func (c *Callers) run(n int) {
 	for i := 0; ; i++ {
 		select {
@@ -84,75 +86,77 @@
 		case <-time.After(callerPause):
 		}
 		id := fmt.Sprintf("c%d-%d", n, i)
-		t := c.Ask(c.addresses[rand.IntN(len(c.addresses))], id, rand.IntN(callerKeys), i%3 != 0)
+		result := c.Call(c.addresses[rand.IntN(len(c.addresses))], id, rand.IntN(callerKeys), i%3 != 0)
 		c.mu.Lock()
-		c.told[id] = t
+		c.results[id] = result
 		c.mu.Unlock()
 	}
 }
 
-// Ask makes one request: a booking, or a look-up, which may run twice.
-func (c *Callers) Ask(address, id string, key int, booking bool) Told {
+// Call makes one request and returns its result. The request is a booking, or a look-up, which is
+// idempotent.
+func (c *Callers) Call(address, id string, key int, booking bool) CallResult {
 	method, path := http.MethodGet, "plumbers"
 	if booking {
 		method, path = http.MethodPost, "bookings"
 	}
 	req, err := http.NewRequest(method, fmt.Sprintf("http://%s/%s/household-%d", address, path, key), strings.NewReader(""))
 	if err != nil {
-		return Told{Outcome: Unknown}
+		return CallResult{Outcome: Unknown}
 	}
-	names := platform.Headers()
-	req.Header.Set(names.RequestID, id)
-	req.Header.Set(names.Timeout, fmt.Sprint(callerTimeout.Milliseconds()))
-	// The HTTP client repeats requests by itself when a kept connection breaks, look-ups too, unless their
-	// body cannot be sent again. What one of the two was told would then be taken for the other.
+	headers := platform.Headers()
+	req.Header.Set(headers.RequestID, id)
+	req.Header.Set(headers.Timeout, fmt.Sprint(callerTimeout.Milliseconds()))
+	// The HTTP client retries idempotent requests by itself when an idle connection breaks, unless the
+	// body cannot be sent again. The result of one attempt would then be taken for that of another.
 	req.Body = io.NopCloser(strings.NewReader(id))
 	req.ContentLength = int64(len(id))
 	req.GetBody = nil
-	t := conclude(c.client, req, id, !booking)
-	t.Instance = address
-	return t
+	result := sendAndClassify(c.client, req, id, !booking)
+	result.Instance = address
+	return result
 }
 
-func conclude(client *http.Client, req *http.Request, id string, twice bool) Told {
-	t := Told{Outcome: Unknown, Twice: twice, Sent: time.Now()}
+// sendAndClassify sends a request and derives the result from the response.
+func sendAndClassify(client *http.Client, req *http.Request, id string, idempotent bool) CallResult {
+	result := CallResult{Outcome: Unknown, Idempotent: idempotent, Sent: time.Now()}
 	resp, err := client.Do(req)
 	if err != nil {
-		return t
+		return result
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return t
+		return result
 	}
-	t.Heard = time.Now()
-	t.Leaving = resp.Header.Get(platform.Headers().Leaving) != ""
-	t.Limited = resp.Header.Get(platform.Headers().Limit) != ""
-	t.Status = resp.StatusCode
+	result.Received = time.Now()
+	result.Leaving = resp.Header.Get(platform.Headers().Leaving) != ""
+	result.Limited = resp.Header.Get(platform.Headers().Limit) != ""
+	result.Status = resp.StatusCode
 	switch signature := resp.Header.Get(platform.Headers().Signature); {
 	case signature != "":
-		t.Outcome = Answered
-		t.Own = strings.HasSuffix(signature, "."+id) && (twice || strings.Contains(string(body), "with "+id+"\n"))
+		result.Outcome = Answered
+		result.OwnAnswer = strings.HasSuffix(signature, "."+id) && (idempotent || strings.Contains(string(body), "with "+id+"\n"))
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
-		t.Outcome = NotRun
+		result.Outcome = NotRun
 	}
-	return t
+	return result
 }
 
-// Count returns how many requests had each outcome so far.
+// Count returns the number of requests with each outcome so far.
 func (c *Callers) Count() map[Outcome]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := map[Outcome]int{}
-	for _, t := range c.told {
-		counts[t.Outcome]++
+	for _, result := range c.results {
+		counts[result.Outcome]++
 	}
 	return counts
 }
 
-// Finish ends the callers and returns what they were told.
-func (c *Callers) Finish() map[string]Told {
+// Finish stops the callers and returns the results of all requests by their ids.
+func (c *Callers) Finish() map[string]CallResult {
 	close(c.stop)
 	c.running.Wait()
-	return c.told
+	return c.results
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// process is one process that the soak has started. It can be started again.
+// process is a process that the soak has started and can start again.
 type process struct {
 	name string
 	path string
@@ -25,15 +25,15 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	stopped bool
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// start starts the process, unless it runs. Two faults that overlap each start it again; a second
-// process beside the first would fail to listen, and the first one would never be ended.
+// start starts the process unless it is running. Two overlapping faults both start it again: a
+// second process would fail to listen, and the first one would never be ended.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
+	if p.running() {
 		return nil
 	}
 	cmd := exec.Command(p.path, p.args...)
@@ -44,29 +44,29 @@
 	p.cmd = cmd
 	p.stopped = false
 	ended := make(chan struct{})
-	p.ended = ended
+	p.exited = ended
 	go func() {
-		// How it ended is seen by what it was doing.
+		// The exit status is not needed: the checks find what a process failed to do.
 		_ = cmd.Wait()
 		close(ended)
 	}()
 	return nil
 }
 
-// runs reports whether the process has been started and not ended. The caller holds the lock.
-func (p *process) runs() bool {
-	if p.ended == nil {
+// running reports whether the process has been started and has not exited. The caller holds the lock.
+func (p *process) running() bool {
+	if p.exited == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// signal sends a signal, if the process runs.
+// signal sends a signal if the process has been started.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,12 +79,12 @@
 	case syscall.SIGCONT:
 		p.stopped = false
 	}
-	// An error says that it has ended already.
+	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// life tells one start of the process from the others.
-func (p *process) life() int {
+// pid returns the id of the process as last started, which tells its starts apart; 0: never started.
+func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -93,69 +93,71 @@
 	return p.cmd.Process.Pid
 }
 
-// end waits until the process has ended, and kills it when it takes too long.
-func (p *process) end(most time.Duration) {
+// awaitExit waits until the process has exited, and kills it after the timeout.
+func (p *process) awaitExit(timeout time.Duration) {
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	if ended == nil {
 		return
 	}
 	select {
 	case <-ended:
-	case <-time.After(most):
+	case <-time.After(timeout):
 		p.signal(syscall.SIGKILL)
 		<-ended
 	}
 }
 
-// Fleet is a deployment of processes.
+// Fleet is a deployment of processes: a store, targets, instances and the proxies between them.
 type Fleet struct {
-	dir       string
-	store     *process
-	storeAt   string
-	instances []*process
-	callersAt []string
-	// toStore are the proxies between each instance and the store, toTargets those before
-	// the targets.
-	toStore   []*Proxy
-	targets   []*process
-	toTargets []*Proxy
-	// targetsAt are the addresses at which the targets themselves listen.
-	targetsAt []string
+	dir             string
+	store           *process
+	storeAddress    string
+	instances       []*process
+	callerAddresses []string
+	// storeProxies has the proxy between each instance and the store. targetProxies has the proxy in
+	// front of each target.
+	storeProxies  []*Proxy
+	targets       []*process
+	targetProxies []*Proxy
+	// targetAddresses has the addresses at which the targets themselves listen, behind the proxies.
+	targetAddresses []string
 }
 
 // dataCentres is the number of data centres of a fleet.
 const dataCentres = 3
 
-func dataCentre(i int) string { return fmt.Sprintf("dc%d", i%dataCentres+1) }
+// dataCentreName returns the data centre of the i-th process of a kind.
+func dataCentreName(i int) string { return fmt.Sprintf("dc%d", i%dataCentres+1) }
 
-// Size is how many processes of each kind a Fleet has.
+// Size is the number of instances and targets of a Fleet, and the defect of the targets.
 type Size struct {
 	Instances int
 	Targets   int
-	// Defect is a fault that the targets are told to have, to see whether it is noticed.
+	// Defect is a deliberate defect of the targets, to test whether the checks find it; "": none.
 	Defect string
 }
 
-// Addresses are taken below the ports that the system gives to outgoing connections. One of
-// those may be given away between the choice and the start of its process, or while its process
-// is down, and the process then cannot listen.
+// Ports are chosen below the range from which the system assigns ports to outgoing connections. A
+// port of that range may be assigned after it was chosen and before its process starts, or while its
+// process is down. The process then cannot listen.
 const (
 	firstPort = 12000
 	endPort   = 32000
 )
 
-// lastPort is the port that was taken last by this process.
-var lastPort atomic.Int64
+// portCounter starts at a random value. Its remainder by the size of the range of ports is the offset
+// from firstPort of the port that was chosen last.
+var portCounter atomic.Int64
 
-// freeAddress returns a loopback address that nobody listens on now, and that it has not
-// returned before.
+// freeAddress returns a loopback address that nothing listens on now and that it has not returned
+// before.
 func freeAddress() (string, error) {
-	lastPort.CompareAndSwap(0, firstPort+rand.Int64N(endPort-firstPort))
+	portCounter.CompareAndSwap(0, firstPort+rand.Int64N(endPort-firstPort))
 	var err error
 	for range endPort - firstPort {
-		port := firstPort + lastPort.Add(1)%(endPort-firstPort)
+		port := firstPort + portCounter.Add(1)%(endPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		var l net.Listener
 		if l, err = net.Listen("tcp", address); err == nil {
@@ -165,7 +167,8 @@
 	return "", fmt.Errorf("soak: no port is free: %w", err)
 }
 
-// NewFleet starts a deployment with the programs in a folder. Logs and records go to dir.
+// NewFleet starts a deployment with the built programs of a directory. Logs and records go to dir.
+// The fleet is returned also with an error; it must be stopped in any case.
 func NewFleet(programs, dir string, size Size) (*Fleet, error) {
 	f := &Fleet{dir: dir}
 	if err := f.startStore(programs); err != nil {
@@ -184,29 +187,31 @@
 	return f, nil
 }
 
-func (f *Fleet) process(name, path string, args ...string) (*process, error) {
+// startProcess starts a process whose output goes to a log named after it.
+func (f *Fleet) startProcess(name, path string, args ...string) (*process, error) {
 	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("soak: %w", err)
+		return nil, fmt.Errorf("soak: open the log: %w", err)
 	}
 	p := &process{name: name, path: path, args: args, log: log}
 	return p, p.start()
 }
 
+// startStore starts the store and waits until it listens.
 func (f *Fleet) startStore(programs string) error {
 	address, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	f.storeAt = address
-	f.store, err = f.process("store", filepath.Join(programs, "lycheehall-standin"), "--listen", address, "platform")
+	f.storeAddress = address
+	f.store, err = f.startProcess("store", filepath.Join(programs, "lycheehall-standin"), "--listen", address, "platform")
 	if err != nil {
 		return err
 	}
 	return awaitListener(address)
 }
 
-// startTarget starts a target that registers the address of the proxy before it.
+// startTarget starts a target that registers the address of the proxy in front of it.
 func (f *Fleet) startTarget(programs string, i int, plant string) error {
 	address, err := freeAddress()
 	if err != nil {
@@ -216,26 +221,27 @@
 	if err != nil {
 		return err
 	}
-	proxy.PointTo(address)
+	proxy.SetTarget(address)
 	name := fmt.Sprintf("target%d", i+1)
 	args := []string{
-		"--listen", address, "target", "--platform", f.storeAt, "--id", name, "--service", "bookings", "--work", "15ms",
+		"--listen", address, "target", "--platform", f.storeAddress, "--id", name, "--service", "bookings", "--work", "15ms",
 		"--advertise", proxy.Address(), "--record", filepath.Join(f.dir, name+".runs"),
-		"--data-centre", dataCentre(i), "--cold", coldFor.String(), "--cold-rate", fmt.Sprint(coldRate), "--disturbed",
+		"--data-centre", dataCentreName(i), "--cold", coldTime.String(), "--cold-rate", fmt.Sprint(coldRate), "--disturbed",
 	}
 	if plant != "" {
 		args = append(args, "--plant", plant)
 	}
-	p, err := f.process(name, filepath.Join(programs, "lycheehall-standin"), args...)
+	p, err := f.startProcess(name, filepath.Join(programs, "lycheehall-standin"), args...)
 	if err != nil {
 		return err
 	}
 	f.targets = append(f.targets, p)
-	f.toTargets = append(f.toTargets, proxy)
-	f.targetsAt = append(f.targetsAt, address)
+	f.targetProxies = append(f.targetProxies, proxy)
+	f.targetAddresses = append(f.targetAddresses, address)
 	return nil
 }
 
+// startInstance starts an instance that reaches the store through a proxy.
 func (f *Fleet) startInstance(programs string, i int) error {
 	var addresses [4]string
 	for n := range addresses {
@@ -249,27 +255,29 @@
 	if err != nil {
 		return err
 	}
-	proxy.PointTo(f.storeAt)
+	proxy.SetTarget(f.storeAddress)
 	name := fmt.Sprintf("instance%d", i+1)
 	settings := filepath.Join(f.dir, name+".toml")
 	text := fmt.Sprintf("name = %q\ndata_centre = %q\nlisten = %q\npeer = %q\nadmin = %q\nreadiness = %q\nplatform = %q\n",
-		name, dataCentre(i), addresses[0], addresses[1], addresses[2], addresses[3], proxy.Address())
+		name, dataCentreName(i), addresses[0], addresses[1], addresses[2], addresses[3], proxy.Address())
 	if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
-		return fmt.Errorf("soak: %w", err)
+		return fmt.Errorf("soak: write the settings: %w", err)
 	}
-	p, err := f.process(name, filepath.Join(programs, "lycheehalld"), "--settings", settings)
+	p, err := f.startProcess(name, filepath.Join(programs, "lycheehalld"), "--settings", settings)
 	if err != nil {
 		return err
 	}
 	f.instances = append(f.instances, p)
-	f.callersAt = append(f.callersAt, addresses[0])
-	f.toStore = append(f.toStore, proxy)
+	f.callerAddresses = append(f.callerAddresses, addresses[0])
+	f.storeProxies = append(f.storeProxies, proxy)
 	return nil
 }
 
-// startTimeout bounds the wait for a process to listen.
+// startTimeout bounds the wait for a process to listen, to answer a control request, or to exit once
+// it was killed.
 const startTimeout = 5 * time.Second
 
+// awaitListener waits until something listens at an address.
 func awaitListener(address string) error {
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		conn, err := net.DialTimeout("tcp", address, time.Second)
@@ -277,10 +285,10 @@
 			return conn.Close()
 		}
 	}
-	return fmt.Errorf("soak: nobody listens at %s", address)
+	return fmt.Errorf("soak: nothing listens at %s", address)
 }
 
-// Stop ends all processes that the fleet has started.
+// Stop ends all processes that the fleet has started and closes the proxies.
 func (f *Fleet) Stop() {
 	all := append(append([]*process{}, f.instances...), f.targets...)
 	if f.store != nil {
@@ -289,22 +297,22 @@
 	for _, p := range all {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
-		p.end(startTimeout)
+		p.awaitExit(startTimeout)
 		p.log.Close()
 	}
-	for _, p := range append(f.toStore, f.toTargets...) {
+	for _, p := range append(f.storeProxies, f.targetProxies...) {
 		p.Close()
 	}
 }
 
-// lines reads the lines of a record that are whole.
-func lines(path string) ([]string, error) {
+// readCompleteLines returns the lines of a file that end in a newline; none if there is no file.
+func readCompleteLines(path string) ([]string, error) {
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("soak: %w", err)
+		return nil, fmt.Errorf("soak: read the record: %w", err)
 	}
 	defer file.Close()
 	var out []string
@@ -312,7 +320,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			// A line without an end was being written when its process was killed.
+			// A last line without a newline was being written when its process was killed.
 			return out, nil
 		}
 		out = append(out, strings.TrimSuffix(line, "\n"))
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -12,109 +12,111 @@
 	"lycheehall.example/lycheehall/platform/standin"
 )
 
-// drainTime is how long after an instance has passed on an answer that says that its target leaves a
-// request that is sent to the instance may still reach that target.
-const drainTime = 2 * time.Second
+// leavingDelay is how long after an instance has passed on an answer that announces a leaving target
+// requests that are sent to the instance may still reach that target.
+const leavingDelay = 2 * time.Second
 
-// interruptions are the times at which processes were killed, stopped, gone on with or started. They are
-// safe for concurrent use.
+// interruptions holds the times at which processes were killed, terminated, paused, resumed or
+// started again. It is safe for concurrent use.
 type interruptions struct {
-	mu sync.Mutex
-	of map[*process][]time.Time
+	mu        sync.Mutex
+	byProcess map[*process][]time.Time
 }
 
-func (i *interruptions) note(p *process) {
+func (i *interruptions) add(p *process) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.of == nil {
-		i.of = map[*process][]time.Time{}
+	if i.byProcess == nil {
+		i.byProcess = map[*process][]time.Time{}
 	}
-	i.of[p] = append(i.of[p], time.Now())
+	i.byProcess[p] = append(i.byProcess[p], time.Now())
 }
 
-// instances returns the interruptions of a fleet's instances, by the addresses for callers.
-func (i *interruptions) instances(f *Fleet) map[string][]time.Time {
+// byInstance returns the interruptions of a fleet's instances by their addresses for callers.
+func (i *interruptions) byInstance(f *Fleet) map[string][]time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := map[string][]time.Time{}
 	for n, p := range f.instances {
-		out[f.callersAt[n]] = slices.Clone(i.of[p])
+		out[f.callerAddresses[n]] = slices.Clone(i.byProcess[p])
 	}
 	return out
 }
 
 const (
-	// leavingLeast and leavingMost bound the time for which a target says that it leaves before it is
-	// told to end.
-	leavingLeast = 2500 * time.Millisecond
-	leavingMost  = 6 * time.Second
-	// leavingPause is the longest time between two of them.
-	leavingPause = 3 * time.Second
+	// minLeavingTime and maxLeavingTime bound the time from the announcement of a target that it is
+	// leaving to its termination.
+	minLeavingTime = 2500 * time.Millisecond
+	maxLeavingTime = 6 * time.Second
+	// maxLeavingPause is the longest time between two leaving targets.
+	maxLeavingPause = 3 * time.Second
 )
 
-// startLeaving has one target after the other say in its answers that it leaves, and nowhere else, and
-// ends it a while later. The returned function ends that. It draws from numbers of its own, so that the
-// other faults of a seed stay what they are.
+// startLeaving makes one target after another announce in its answers, and nowhere else, that it is
+// leaving, and restarts it a while later. The returned function stops that. It uses a random source of
+// its own, so that it does not alter the other faults of a seed.
 func (s *soak) startLeaving() (finish func()) {
-	return during(func(stop <-chan struct{}) {
+	return runInBackground(func(stop <-chan struct{}) {
 		random := rand.New(rand.NewPCG(s.Seed, 1))
-		for wait(stop, time.Duration(random.Int64N(int64(leavingPause)))) {
+		for sleep(stop, time.Duration(random.Int64N(int64(maxLeavingPause)))) {
 			n := random.IntN(len(s.fleet.targets))
-			s.tellLeaving(n)
-			time.Sleep(leavingLeast + time.Duration(random.Int64N(int64(leavingMost-leavingLeast))))
-			s.replace(s.fleet.targets[n])
+			s.announceLeaving(n)
+			time.Sleep(minLeavingTime + time.Duration(random.Int64N(int64(maxLeavingTime-minLeavingTime))))
+			s.restart(s.fleet.targets[n])
 		}
 	})
 }
 
-// tellLeaving makes a target say that it leaves, if it answers.
-func (s *soak) tellLeaving(n int) {
+// announceLeaving makes target n announce that it is leaving, if it can be reached.
+func (s *soak) announceLeaving(n int) {
 	client := http.Client{Timeout: startTimeout}
-	resp, err := client.Post("http://"+s.fleet.targetsAt[n]+"/standin/leave", "", nil)
+	resp, err := client.Post("http://"+s.fleet.targetAddresses[n]+"/standin/leave", "", nil)
 	if err != nil {
-		// It is down or stopped by another fault.
+		// The target is down or paused by another fault.
 		return
 	}
 	resp.Body.Close()
-	s.Progress("seed %d: %s says that it leaves", s.Seed, s.fleet.targets[n].name)
+	s.Progress("seed %d: %s announces that it is leaving", s.Seed, s.fleet.targets[n].name)
 }
 
-// replace ends a process and starts it again.
-func (s *soak) replace(p *process) {
+// restart terminates a process, waits until it has exited and starts it again.
+func (s *soak) restart(p *process) {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
-	p.end(stopFor)
+	p.awaitExit(stopTimeout)
 	if err := p.start(); err != nil {
 		s.Progress("%v", err)
 	}
 }
 
-// way is an instance and one life of a target.
-type way struct{ instance, target string }
+// instanceTarget is the address of an instance and one process of a target.
+type instanceTarget struct{ instance, target string }
 
-// checkLeaving sees whether an instance goes on to send requests to a target that it was told leaves. One
-// that was interrupted since has forgotten, or did not know how the time passed.
-func checkLeaving(told map[string]Told, runs []standin.Record, interrupted map[string][]time.Time) []string {
-	first := map[way]time.Time{}
+// checkLeaving finds runs at a target that began from a request sent to an instance more than
+// leavingDelay after that instance had passed on the announcement that the target is leaving. An
+// instance that was interrupted in between is excused: a restarted one has forgotten the announcement,
+// and a paused one could not act in time.
+func checkLeaving(results map[string]CallResult, runs []standin.Record, interrupted map[string][]time.Time) []string {
+	announced := map[instanceTarget]time.Time{}
 	for _, r := range runs {
-		t, known := told[r.Request]
-		w := way{t.Instance, r.Target}
-		if at, heard := first[w]; known && t.Leaving && (!heard || t.Heard.Before(at)) {
-			first[w] = t.Heard
+		result, known := results[r.Request]
+		pair := instanceTarget{result.Instance, r.Target}
+		if at, found := announced[pair]; known && result.Leaving && (!found || result.Received.Before(at)) {
+			announced[pair] = result.Received
 		}
 	}
-	var wrong []string
+	var violations []string
 	for _, r := range runs {
-		t := told[r.Request]
-		at, heard := first[way{t.Instance, r.Target}]
-		if !heard || t.Sent.Sub(at) <= drainTime {
+		result := results[r.Request]
+		at, known := announced[instanceTarget{result.Instance, r.Target}]
+		if !known || result.Sent.Sub(at) <= leavingDelay {
 			continue
 		}
-		if !between(interrupted[t.Instance], at, t.Sent) {
-			wrong = append(wrong, fmt.Sprintf("%s was sent to %s %v after that had passed on that %s leaves, and reached it",
-				r.Request, t.Instance, t.Sent.Sub(at).Round(time.Millisecond), r.Target))
+		if !anyBetween(interrupted[result.Instance], at, result.Sent) {
+			violations = append(violations, fmt.Sprintf("%s was sent to %s %v after that instance had passed on that %s is leaving, but reached that target",
+				r.Request, result.Instance, result.Sent.Sub(at).Round(time.Millisecond), r.Target))
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(violations)
+	return violations
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -11,58 +11,58 @@
 // Fault is what a proxy does to the connections that pass through it.
 type Fault string
 
-// The faults of a proxy.
+// The faults of a proxy. Callers are the side that connects to the proxy.
 const (
-	// Sound passes everything on.
-	Sound Fault = "sound"
-	// Delayed passes everything on, later.
+	// NoFault forwards everything.
+	NoFault Fault = "sound"
+	// Delayed forwards everything after a delay of proxyDelay.
 	Delayed Fault = "delayed"
-	// Reset resets open connections, and new ones at once.
+	// Reset resets open connections and each new one at once.
 	Reset Fault = "reset"
-	// Silent passes nothing on and closes nothing.
-	Silent Fault = "silent"
-	// OneWay passes on what callers send, and nothing back.
+	// Stalled forwards nothing and closes nothing.
+	Stalled Fault = "silent"
+	// OneWay forwards what callers send and nothing in the other direction.
 	OneWay Fault = "one-way"
 )
 
-// proxyDelay is how much later a delayed proxy passes things on.
+// proxyDelay is how long a proxy with the fault Delayed holds each piece of data back.
 const proxyDelay = 150 * time.Millisecond
 
-// Proxy passes TCP connections on to an address. It is safe for concurrent use.
+// Proxy forwards TCP connections to an address. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 
 	mu     sync.Mutex
 	target string
 	fault  Fault
-	// changed is closed when the fault has changed.
+	// changed is closed and replaced when the fault changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
 }
 
-// NewProxy listens on a free port of the loopback interface.
+// NewProxy starts a proxy without a fault on a free port of the loopback interface.
 func NewProxy() (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("soak: proxy: %w", err)
+		return nil, fmt.Errorf("soak: proxy: listen: %w", err)
 	}
-	p := &Proxy{listener: l, fault: Sound, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p := &Proxy{listener: l, fault: NoFault, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go p.serve()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// PointTo sets where new connections are passed on to.
-func (p *Proxy) PointTo(address string) {
+// SetTarget sets the address to which new connections are forwarded.
+func (p *Proxy) SetTarget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = address
 }
 
-// Set changes the fault, for open connections too.
-func (p *Proxy) Set(f Fault) {
+// SetFault changes the fault, also for open connections.
+func (p *Proxy) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -76,12 +76,13 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops listening and resets all connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Reset)
+	p.SetFault(Reset)
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -95,17 +96,19 @@
 		if err != nil {
 			return
 		}
-		go p.pass(caller)
+		go p.forward(caller)
 	}
 }
 
+// state returns the fault, the target address, and a channel that is closed when the fault changes.
 func (p *Proxy) state() (Fault, string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault, p.target, p.changed
 }
 
-func (p *Proxy) pass(caller net.Conn) {
+// forward connects to the target and forwards both directions until they end.
+func (p *Proxy) forward(caller net.Conn) {
 	fault, target, _ := p.state()
 	if fault == Reset {
 		reset(caller)
@@ -119,22 +122,23 @@
 	p.mu.Lock()
 	p.conns[caller], p.conns[server] = true, true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, caller, false) })
-	both.Go(func() { p.copy(caller, server, true) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardDirection(server, caller, false) })
+	directions.Go(func() { p.forwardDirection(caller, server, true) })
+	directions.Wait()
 	p.mu.Lock()
 	delete(p.conns, caller)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// copy passes one direction on until it ends. How it ended is passed on as well.
-func (p *Proxy) copy(to, from net.Conn, back bool) {
+// forwardDirection forwards one direction until it ends, and then closes or resets the other side in
+// the same way. fromServer tells which direction it is.
+func (p *Proxy) forwardDirection(to, from net.Conn, fromServer bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.hold(back)
+		p.awaitPassage(fromServer)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				reset(from)
@@ -154,15 +158,15 @@
 	}
 }
 
-// hold waits for as long as the fault keeps things back.
-func (p *Proxy) hold(back bool) {
+// awaitPassage waits while the fault holds data of a direction back.
+func (p *Proxy) awaitPassage(fromServer bool) {
 	for {
 		fault, _, changed := p.state()
 		switch {
 		case fault == Delayed:
 			time.Sleep(proxyDelay)
 			return
-		case fault == Silent, fault == OneWay && back:
+		case fault == Stalled, fault == OneWay && fromServer:
 			<-changed
 		default:
 			return
--- a/soak/changes_test.go
+++ b/soak/rulechanges_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("changes of the rules", func() {
-	// watch looks at an instance that tells one version and then another; between them its process
-	// is started anew, if so asked.
-	watch := func(first, then int64, anew bool) []string {
+var _ = Describe("the check of rule versions", func() {
+	// watch returns the violations found at an instance that answers with the version first and later
+	// with second. If restart is set, its process is restarted in between.
+	watch := func(first, second int64, restart bool) []string {
 		GinkgoHelper()
 		var version atomic.Int64
 		version.Store(first)
@@ -25,27 +25,27 @@
 		defer server.Close()
 		p := &process{name: "sleep", path: "/bin/sleep", args: []string{"60"}}
 		Expect(p.start()).To(Succeed())
-		defer func() { p.end(0) }()
-		c := &Changes{
-			fleet: &Fleet{instances: []*process{p}, callersAt: []string{server.Listener.Addr().String()}},
+		defer func() { p.awaitExit(0) }()
+		c := &RuleChanges{
+			fleet: &Fleet{instances: []*process{p}, callerAddresses: []string{server.Listener.Addr().String()}},
 			http:  server.Client(), stop: make(chan struct{}),
 		}
-		c.wait.Go(func() { c.look(0) })
-		time.Sleep(3 * askEvery)
-		if anew {
-			p.end(0)
+		c.running.Go(func() { c.watchInstance(0) })
+		time.Sleep(3 * pollInterval)
+		if restart {
+			p.awaitExit(0)
 			Expect(p.start()).To(Succeed())
 		}
-		version.Store(then)
-		time.Sleep(3 * askEvery)
+		version.Store(second)
+		time.Sleep(3 * pollInterval)
 		return c.Stop()
 	}
 
-	It("notice a process that goes back to an older version", func() {
+	It("finds a process that goes back to an older version", func() {
 		Expect(watch(5, 4, false)).NotTo(BeEmpty())
 	})
 
-	It("accept a newer version, and an older one of a process that was started anew", func() {
+	It("accepts a newer version, and an older one of a restarted process", func() {
 		Expect(watch(5, 6, false)).To(BeEmpty())
 		Expect(watch(5, 4, true)).To(BeEmpty())
 	})
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -14,20 +14,21 @@
 	"lycheehall.example/lycheehall/state/rulestore"
 )
 
-// Options of one soak.
+// Options are the options of one soak run.
 type Options struct {
 	Seed uint64
 	Size
 	// Length is how long faults are injected.
 	Length time.Duration
-	// ProgramDir is the folder with the built programs, Dir one for logs and records.
+	// ProgramDir is the directory of the built programs. Dir is the directory for logs and records.
 	ProgramDir string
 	Dir        string
-	// Progress is told what happens.
+	// Progress is called with messages about faults and other events.
 	Progress func(format string, args ...any)
 }
 
-// Result is what a soak has seen.
+// Result is the result of a soak run: the number of requests by outcome, the number of faults, and
+// the violations of guarantees.
 type Result struct {
 	Counts     map[Outcome]int
 	Faults     int
@@ -35,88 +36,89 @@
 }
 
 const (
-	// settleFor bounds the wait until everything is served, at the start and after the
-	// faults: the longest hold, a change of the leading instance and a start.
-	settleFor = 25 * time.Second
-	// mostPause is the longest time between two faults.
-	mostPause = 900 * time.Millisecond
-	// stopFor bounds the wait for a process that was asked to end.
-	stopFor = 10 * time.Second
+	// settleTimeout bounds the wait until everything is served, at the start and after the faults. It
+	// covers the longest hold of a grant of keys, a change of the leader and the start of a process.
+	settleTimeout = 25 * time.Second
+	// maxFaultPause is the longest time between two faults.
+	maxFaultPause = 900 * time.Millisecond
+	// stopTimeout bounds the wait for a terminated process to exit before it is killed.
+	stopTimeout = 10 * time.Second
 )
 
-// soak is one run.
+// soak is a run in progress.
 type soak struct {
 	Options
 	fleet   *Fleet
 	callers *Callers
-	changes *Changes
+	changes *RuleChanges
 	random  *rand.Rand
-	// pending are the ends of faults.
-	pending sync.WaitGroup
-	faults  int
-	// interrupted are the faults of processes.
+	// pendingEnds counts the faults that have not ended yet.
+	pendingEnds sync.WaitGroup
+	faults      int
+	// interrupted has the times of faults of processes.
 	interrupted interruptions
-	// outOfTouch are the times in which instances did not run or did not reach the store, by their addresses
-	// for callers.
-	outOfTouch spans
-	// asked are the evacuations as operators want them.
-	asked asked
+	// disconnected has the periods in which instances were not running or could not reach the store
+	// reliably, by their addresses for callers.
+	disconnected intervals
+	// evacuations has the evacuations that operators have requested.
+	evacuations requestedEvacuations
 }
 
-// Run plays one seed.
+// Run runs one seed and returns what it has found. An error means that the run itself failed.
 func Run(o Options) (*Result, error) {
 	fleet, err := NewFleet(o.ProgramDir, o.Dir, o.Size)
 	defer fleet.Stop()
 	if err != nil {
 		return nil, err
 	}
-	store := platform.NewStore(fleet.storeAt)
+	store := platform.NewStore(fleet.storeAddress)
 	if _, err := rulestore.Apply(context.Background(), store, 0, rulestore.Record{Author: "soak", Text: examples.Rules}); err != nil {
 		return nil, err
 	}
-	s := &soak{Options: o, fleet: fleet, callers: NewCallers(fleet.callersAt), random: rand.New(rand.NewPCG(o.Seed, 0))}
-	if err := s.settle("start"); err != nil {
+	s := &soak{Options: o, fleet: fleet, callers: NewCallers(fleet.callerAddresses), random: rand.New(rand.NewPCG(o.Seed, 0))}
+	if err := s.awaitServed("start"); err != nil {
 		s.callers.Finish()
 		return nil, err
 	}
-	changes, err := StartChanges(fleet, o.Seed)
+	changes, err := StartRuleChanges(fleet, o.Seed)
 	if err != nil {
 		s.callers.Finish()
 		return nil, err
 	}
 	s.changes = changes
-	leaving := s.startLeaving()
-	evacuations := s.startEvacuations()
-	limits := s.startLimits()
-	returns := s.startReturns()
-	s.inject()
-	s.pending.Wait()
-	returns()
-	limits()
-	leaving()
-	evacuated := evacuations()
+	stopLeaving := s.startLeaving()
+	stopEvacuations := s.startEvacuations()
+	stopLimits := s.startLimits()
+	stopStoreRestores := s.startStoreRestores()
+	s.injectFaults()
+	s.pendingEnds.Wait()
+	stopStoreRestores()
+	stopLimits()
+	stopLeaving()
+	evacuated := stopEvacuations()
 	result := &Result{Faults: s.faults, Violations: changes.Stop()}
-	for _, err := range []error{s.settle("recovery"), changes.settled()} {
+	for _, err := range []error{s.awaitServed("recovery"), changes.awaitNewest()} {
 		if err != nil {
 			result.Violations = append(result.Violations, err.Error())
 		}
 	}
 	result.Counts = s.callers.Count()
-	told := s.callers.Finish()
+	results := s.callers.Finish()
 	runs, err := fleet.Runs()
 	if err != nil {
 		return nil, err
 	}
-	result.Violations = append(result.Violations, Check(told, runs)...)
-	result.Violations = append(result.Violations, checkLeaving(told, runs, s.interrupted.instances(fleet))...)
-	result.Violations = append(result.Violations, checkEvacuations(told, runs, evacuated, s.outOfTouch.of)...)
-	result.Violations = append(result.Violations, checkCold(runs)...)
-	result.Violations = append(result.Violations, checkLimits(told, runs, s.interrupted.instances(fleet))...)
+	result.Violations = append(result.Violations, Check(results, runs)...)
+	result.Violations = append(result.Violations, checkLeaving(results, runs, s.interrupted.byInstance(fleet))...)
+	result.Violations = append(result.Violations, checkEvacuations(results, runs, evacuated, s.disconnected.byInstance)...)
+	result.Violations = append(result.Violations, checkColdRate(runs)...)
+	result.Violations = append(result.Violations, checkLimits(results, runs, s.interrupted.byInstance(fleet))...)
 	return result, nil
 }
 
-// during runs a function beside others until the returned one is called, which waits for its end.
-func during(run func(stop <-chan struct{})) (finish func()) {
+// runInBackground runs a function in a goroutine. The returned function closes stop and waits until
+// the goroutine has ended.
+func runInBackground(run func(stop <-chan struct{})) (finish func()) {
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() { run(stop) })
@@ -126,18 +128,19 @@
 	}
 }
 
-// settle waits until every instance serves every key.
-func (s *soak) settle(when string) error {
-	deadline := time.Now().Add(settleFor)
-	for n, address := range s.fleet.callersAt {
+// awaitServed waits until every instance has served every key. when is the phase of the run, which is
+// part of the request ids and of the error.
+func (s *soak) awaitServed(when string) error {
+	deadline := time.Now().Add(settleTimeout)
+	for n, address := range s.fleet.callerAddresses {
 		for key := 0; key < callerKeys; {
 			id := fmt.Sprintf("%s-%d-%d-%d", when, n, key, time.Now().UnixNano())
-			if s.callers.Ask(address, id, key, false).Outcome == Answered {
+			if s.callers.Call(address, id, key, false).Outcome == Answered {
 				key++
 				continue
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s: instance %d does not serve household %d after %v", when, n+1, key, settleFor)
+				return fmt.Errorf("%s: instance %d does not serve household %d after %v", when, n+1, key, settleTimeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -145,31 +148,32 @@
 	return nil
 }
 
-// inject lets faults come one after the other, each with an end of its own, so that they
-// overlap.
-func (s *soak) inject() {
+// injectFaults injects one fault after another for the length of the run. Each ends at a time of its
+// own, so that faults overlap.
+func (s *soak) injectFaults() {
 	for end := time.Now().Add(s.Length); time.Now().Before(end); {
 		s.faults++
-		name := s.fault()
+		name := s.injectFault()
 		s.Progress("seed %d, fault %d: %s, %v", s.Seed, s.faults, name, s.callers.Count())
-		time.Sleep(s.upTo(mostPause))
+		time.Sleep(s.randomUpTo(maxFaultPause))
 	}
 }
 
-func (s *soak) upTo(most time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(most)))
+// randomUpTo returns a random duration below the longest.
+func (s *soak) randomUpTo(longest time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(longest)))
 }
 
-// after ends a fault later.
-func (s *soak) after(d time.Duration, end func()) {
-	s.pending.Go(func() {
+// scheduleEnd ends a fault after a delay.
+func (s *soak) scheduleEnd(d time.Duration, end func()) {
+	s.pendingEnds.Go(func() {
 		time.Sleep(d)
 		end()
 	})
 }
 
-// fault injects one fault and returns its name.
-func (s *soak) fault() string {
+// injectFault injects one random fault and returns its description.
+func (s *soak) injectFault() string {
 	instance := s.fleet.instances[s.random.IntN(len(s.fleet.instances))]
 	target := s.fleet.targets[s.random.IntN(len(s.fleet.targets))]
 	switch s.random.IntN(9) {
@@ -186,79 +190,80 @@
 	case 5:
 		return s.terminate(target)
 	case 6:
-		return s.cut("store of one instance", s.fleet.toStore[s.random.IntN(len(s.fleet.toStore))])
+		return s.disruptConnections("store of one instance", s.fleet.storeProxies[s.random.IntN(len(s.fleet.storeProxies))])
 	case 7:
-		return s.cut("store of all instances", s.fleet.toStore...)
+		return s.disruptConnections("store of all instances", s.fleet.storeProxies...)
 	}
-	return s.cut("a target", s.fleet.toTargets[s.random.IntN(len(s.fleet.toTargets))])
+	return s.disruptConnections("a target", s.fleet.targetProxies[s.random.IntN(len(s.fleet.targetProxies))])
 }
 
-// restart starts a process again once it has ended.
-func (s *soak) restart(p *process, most time.Duration) {
-	back := s.loseTouch(p)
-	s.after(s.upTo(2*time.Second), func() {
-		p.end(most)
+// scheduleRestart starts a process again after a random delay, once it has exited.
+func (s *soak) scheduleRestart(p *process, exitTimeout time.Duration) {
+	reconnected := s.markDisconnected(p)
+	s.scheduleEnd(s.randomUpTo(2*time.Second), func() {
+		p.awaitExit(exitTimeout)
 		if err := p.start(); err != nil {
 			s.Progress("%v", err)
 		}
-		s.interrupted.note(p)
-		back()
+		s.interrupted.add(p)
+		reconnected()
 	})
 }
 
-// loseTouch notes that a process, if it is an instance, is out of touch until the returned function is
-// called.
-func (s *soak) loseTouch(p *process) (back func()) {
+// markDisconnected records that a process, if it is an instance, is disconnected from now until the
+// returned function is called.
+func (s *soak) markDisconnected(p *process) (reconnected func()) {
 	n := slices.Index(s.fleet.instances, p)
 	begun := time.Now()
 	return func() {
 		if n >= 0 {
-			s.outOfTouch.note(s.fleet.callersAt[n], begun, time.Now())
+			s.disconnected.add(s.fleet.callerAddresses[n], begun, time.Now())
 		}
 	}
 }
 
 func (s *soak) kill(p *process) string {
-	s.interrupted.note(p)
+	s.interrupted.add(p)
 	p.signal(syscall.SIGKILL)
-	s.restart(p, stopFor)
+	s.scheduleRestart(p, stopTimeout)
 	return "kill " + p.name
 }
 
 func (s *soak) terminate(p *process) string {
-	s.interrupted.note(p)
+	s.interrupted.add(p)
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
-	s.restart(p, stopFor)
+	s.scheduleRestart(p, stopTimeout)
 	return "terminate " + p.name
 }
 
-func (s *soak) pause(p *process, most time.Duration) string {
-	s.interrupted.note(p)
+func (s *soak) pause(p *process, longest time.Duration) string {
+	s.interrupted.add(p)
 	p.signal(syscall.SIGSTOP)
-	back := s.loseTouch(p)
-	s.after(s.upTo(most), func() {
+	reconnected := s.markDisconnected(p)
+	s.scheduleEnd(s.randomUpTo(longest), func() {
 		p.signal(syscall.SIGCONT)
-		s.interrupted.note(p)
-		back()
+		s.interrupted.add(p)
+		reconnected()
 	})
 	return "pause " + p.name
 }
 
-func (s *soak) cut(what string, proxies ...*Proxy) string {
-	fault := []Fault{Delayed, Reset, Silent, OneWay}[s.random.IntN(4)]
-	var back []func()
+// disruptConnections sets a random fault on proxies for a random time.
+func (s *soak) disruptConnections(what string, proxies ...*Proxy) string {
+	fault := []Fault{Delayed, Reset, Stalled, OneWay}[s.random.IntN(4)]
+	var reconnected []func()
 	for _, p := range proxies {
-		p.Set(fault)
-		if n := slices.Index(s.fleet.toStore, p); n >= 0 {
-			back = append(back, s.loseTouch(s.fleet.instances[n]))
+		p.SetFault(fault)
+		if n := slices.Index(s.fleet.storeProxies, p); n >= 0 {
+			reconnected = append(reconnected, s.markDisconnected(s.fleet.instances[n]))
 		}
 	}
-	s.after(s.upTo(6*time.Second), func() {
+	s.scheduleEnd(s.randomUpTo(6*time.Second), func() {
 		for _, p := range proxies {
-			p.Set(Sound)
+			p.SetFault(NoFault)
 		}
-		for _, done := range back {
+		for _, done := range reconnected {
 			done()
 		}
 	})
