--- a/cmd/lycheehall-standin/main.go
+++ b/cmd/lycheehall-standin/main.go
@@ -108,11 +108,11 @@
 	}
 	// A restarted target has the same id as before but owns no keys. Born tells the two processes apart.
 	target := standin.NewTarget(o.id, o.service, !o.unkeyed)
-	target.Born = time.Now().UnixMilli()
+	target.StartedAt = time.Now().UnixMilli()
 	target.Work = o.workTime
-	target.Plant = standin.Plant(o.defect)
+	target.Inject = standin.InjectedFault(o.defect)
 	target.DataCentre, target.Disturbed = o.dataCentre, o.disturbed
-	target.Cold, target.ColdRate = time.Now().Add(o.coldTime), o.coldRate
+	target.ColdUntil, target.ColdRate = time.Now().Add(o.coldTime), o.coldRate
 	target.Crash = func() { os.Exit(1) }
 	if o.recordFile != "" {
 		if err := recordRuns(target, o.recordFile); err != nil {
--- a/instance/limit_test.go
+++ b/instance/limit_test.go
@@ -90,21 +90,21 @@
 	expectWithin := func(targets map[string]*child, since time.Time) {
 		GinkgoHelper()
 		for id, target := range targets {
-			Expect(float64(target.mostWithin(standin.LimitWindow, since.Add(standin.LimitAfter)))).To(BeNumerically("<=", standin.LimitBound(perSecond)), id)
+			Expect(float64(target.mostWithin(standin.LimitWindow, since.Add(standin.LimitGrace)))).To(BeNumerically("<=", standin.MaxRequestsInLimitWindow(perSecond)), id)
 		}
 	}
 
 	// expectServed sees that what targets take is still served.
 	expectServed := func(answered int, targets map[string]*child) {
 		GinkgoHelper()
-		taken := perSecond * float64(len(targets)) * (standin.LimitAfter + counted).Seconds()
+		taken := perSecond * float64(len(targets)) * (standin.LimitGrace + counted).Seconds()
 		Expect(float64(answered)).To(BeNumerically(">", taken/2))
 	}
 
 	It("get no more than that with keys (guards against each instance counting for itself)", func() {
 		d := startDeployment()
 		since := limited(d.targets)
-		answered := press(d, standin.LimitAfter+counted, func(i, n int) int {
+		answered := press(d, standin.LimitGrace+counted, func(i, n int) int {
 			return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status
 		})
 		expectWithin(d.targets, since)
@@ -114,8 +114,8 @@
 	It("get no more than that while an instance is lost (guards against a next keeper that starts anew)", func() {
 		d := startDeployment()
 		since := limited(d.targets)
-		time.AfterFunc(standin.LimitAfter+time.Second, func() { _ = d.instances[1].cmd.Process.Signal(syscall.SIGKILL) })
-		press(d, standin.LimitAfter+counted, func(i, n int) int {
+		time.AfterFunc(standin.LimitGrace+time.Second, func() { _ = d.instances[1].cmd.Process.Signal(syscall.SIGKILL) })
+		press(d, standin.LimitGrace+counted, func(i, n int) int {
 			return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status
 		})
 		expectWithin(d.targets, since)
@@ -131,7 +131,7 @@
 		f := &fragile{deployment: d}
 		f.startInstances()
 		since := limited(d.targets)
-		answered := press(d, standin.LimitAfter+counted, func(i, n int) int { return f.dispatch(i, fmt.Sprint("/dispatch/job-", n)) })
+		answered := press(d, standin.LimitGrace+counted, func(i, n int) int { return f.dispatch(i, fmt.Sprint("/dispatch/job-", n)) })
 		expectWithin(d.targets, since)
 		expectServed(answered, d.targets)
 	})
@@ -154,7 +154,7 @@
 		d := startDeployment()
 		limited(d.targets)
 		request := func(i, n int) int { return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status }
-		press(d, standin.LimitAfter, request)
+		press(d, standin.LimitGrace, request)
 		for _, target := range d.targets {
 			target.nameLimit(0)
 		}
--- a/instance/returned_test.go
+++ b/instance/returned_test.go
@@ -159,14 +159,14 @@
 		put(1)
 		operators = startFollowers(store, instances)
 		Eventually(versions, "20s", "50ms").Should(Equal(all(1)))
-		store.Copy()
+		store.TakeBackup()
 		others(2000)
 		put(2)
 		Eventually(versions, bound, "50ms").Should(Equal(all(2)))
 	})
 
 	It("has what is acknowledged from then on in force in time (guards against versions that are given out again)", func() {
-		store.ComeBack()
+		store.RestoreBackup()
 		put(2)
 		time.Sleep(time.Second)
 		put(3)
@@ -174,7 +174,7 @@
 	})
 
 	It("has what was acknowledged before stay in force until it is written again (guards against going back)", func() {
-		store.ComeBack()
+		store.RestoreBackup()
 		Consistently(versions, bound, "50ms").ShouldNot(ContainElement(uint64(1)))
 		put(2)
 		put(4)
@@ -182,9 +182,9 @@
 	})
 
 	It("has what is acknowledged in force in time also when it was away for longer than a lease", func() {
-		store.SetFaults(standin.Faults{Silent: true})
+		store.SetFaults(standin.Faults{Unresponsive: true})
 		time.Sleep(2200 * time.Millisecond)
-		store.ComeBack()
+		store.RestoreBackup()
 		store.SetFaults(standin.Faults{})
 		time.Sleep(time.Second)
 		put(3)
@@ -193,9 +193,9 @@
 
 	It("is led by one instance at a time (guards against a lease that each takes for unchanged)", func() {
 		address := serveLocal(GinkgoTB(), store.Handler())
-		store.SetFaults(standin.Faults{Silent: true})
+		store.SetFaults(standin.Faults{Unresponsive: true})
 		time.Sleep(2200 * time.Millisecond)
-		store.ComeBack()
+		store.RestoreBackup()
 		store.SetFaults(standin.Faults{})
 		finish := holders(address)
 		time.Sleep(4 * time.Second)
@@ -208,10 +208,10 @@
 		targets.add("k2")
 		const some = (1 << 16) / keyStep / 5
 		Eventually(func() int { return min(targets.of(0), targets.of(1)) }, "10s", "50ms").Should(BeNumerically(">", some))
-		store.Copy()
+		store.TakeBackup()
 		targets.add("k3")
 		Eventually(func() int { return targets.of(2) }, "10s", "50ms").Should(BeNumerically(">", some))
-		store.ComeBack()
+		store.RestoreBackup()
 		put(2)
 		before := map[int]hold{}
 		var twiceBefore []int
@@ -234,10 +234,10 @@
 	})
 
 	It("has what is acknowledged in force in time when it comes back twice in a row", func() {
-		store.ComeBack()
+		store.RestoreBackup()
 		time.Sleep(500 * time.Millisecond)
 		others(300)
-		store.ComeBack()
+		store.RestoreBackup()
 		time.Sleep(500 * time.Millisecond)
 		put(3)
 		Eventually(versions, bound, "50ms").Should(Equal(all(3)))
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -188,7 +188,7 @@
 			byTarget[r.Target] = append(byTarget[r.Target], r.Begun)
 		}
 	}
-	const maxRequests = int(coldRate*standin.ColdOver + standin.ColdSlack)
+	const maxRequests = int(coldRate*standin.ColdRateFactor + standin.ColdRateAllowance)
 	var violations []string
 	for target, times := range byTarget {
 		slices.Sort(times)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -135,8 +135,8 @@
 type Size struct {
 	Instances int
 	Targets   int
-	// Defect is a deliberate defect of the targets, to test whether the checks find it; "": none.
-	Defect string
+	// InjectedFault is a deliberate defect of the targets, to test whether the checks find it; "": none.
+	InjectedFault string
 }
 
 // Ports are chosen below the range from which the system assigns ports to outgoing connections. A
@@ -175,7 +175,7 @@
 		return f, err
 	}
 	for i := range size.Targets {
-		if err := f.startTarget(programs, i, size.Defect); err != nil {
+		if err := f.startTarget(programs, i, size.InjectedFault); err != nil {
 			return f, err
 		}
 	}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -16,7 +16,7 @@
 	minLimit = 2
 	maxLimit = 12
 	// minLimitTime and maxLimitTime bound how long a target announces limits.
-	minLimitTime = standin.LimitAfter + 2*time.Second
+	minLimitTime = standin.LimitGrace + 2*time.Second
 	maxLimitTime = 10 * time.Second
 	// maxLimitPause is the longest time between two targets with limits.
 	maxLimitPause = 3 * time.Second
@@ -80,7 +80,7 @@
 		at, known := learned[pair]
 		// An announcement of an earlier limit does not count, nor one before an interruption.
 		binds := known && at.After(since) && begun.Sub(at) >= limitDelay && !anyBetween(interrupted[result.Instance], at, begun)
-		if binds && time.Duration(r.Limited) >= standin.LimitAfter {
+		if binds && time.Duration(r.Limited) >= standin.LimitGrace {
 			byTarget[r.Target] = append(byTarget[r.Target], limitedRequest{r.Begun, r.Limit})
 		}
 		if result.Limited && (!known || at.Before(since) || anyBetween(interrupted[result.Instance], at, result.Received)) {
@@ -109,7 +109,7 @@
 		for _, b := range list[first : i+1] {
 			limit = max(limit, b.limit)
 		}
-		n, windowAllowed := i-first+1, standin.LimitBound(limit)
+		n, windowAllowed := i-first+1, standin.MaxRequestsInLimitWindow(limit)
 		if allowed == 0 || float64(n)-windowAllowed > float64(count)-allowed {
 			count, allowed = n, windowAllowed
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -48,7 +48,7 @@
 func runSeed(programs string, seed uint64, length time.Duration, plant string) *Result {
 	GinkgoHelper()
 	result, err := Run(Options{
-		Seed: seed, Size: Size{Instances: 3, Targets: 3, Defect: plant}, Length: length,
+		Seed: seed, Size: Size{Instances: 3, Targets: 3, InjectedFault: plant}, Length: length,
 		ProgramDir: programs, Dir: GinkgoT().TempDir(),
 		Progress: func(format string, args ...any) { GinkgoWriter.Printf(format+"\n", args...) },
 	})
@@ -104,7 +104,7 @@
 	})
 
 	It("finds a deliberate defect in real processes", func() {
-		Expect(runSeed(buildPrograms(), 7, time.Second, string(standin.Twice)).Violations).NotTo(BeEmpty())
+		Expect(runSeed(buildPrograms(), 7, time.Second, string(standin.RunTwice)).Violations).NotTo(BeEmpty())
 	})
 })
 
