--- a/coordination/assign/assign_test.go
+++ b/coordination/assign/assign_test.go
@@ -19,7 +19,7 @@
 
 const start = clock.Instant(time.Hour)
 
-var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, MinGain: 0.1}}
+var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, MinDifference: 0.1}}
 
 // target returns a target with six slots.
 func target(id string) view.Target {
@@ -44,11 +44,11 @@
 func settleStep(m *Manager, now clock.Instant, targets []view.Target) clock.Instant {
 	now = now.Add(25 * time.Millisecond)
 	m.SetTargets(now, targets)
-	for _, o := range m.Tick(now, false) {
-		m.RecordOutcome(now, o, Done, "h")
+	for _, o := range m.DueOrders(now, false) {
+		m.RecordOutcome(now, o, OutcomeDone, "h")
 	}
 	if p := m.Propose(now); p != nil {
-		m.Stored(p)
+		m.RecordStored(p)
 	}
 	return now
 }
@@ -69,7 +69,7 @@
 func nextProposal(m *Manager, now clock.Instant) (*keyrange.Map, clock.Instant) {
 	for range 1000 {
 		now = now.Add(25 * time.Millisecond)
-		m.Tick(now, false)
+		m.DueOrders(now, false)
 		if p := m.Propose(now); p != nil {
 			return p, now
 		}
@@ -90,9 +90,9 @@
 		now := settle(m, start, []view.Target{target("a"), target("b"), target("c")})
 		now = now.Add(25 * time.Millisecond)
 		m.SetTargets(now, []view.Target{draining(target("a")), target("b"), target("c")})
-		m.Stored(m.Propose(now))
+		m.RecordStored(m.Propose(now))
 		releases := 0
-		for _, o := range m.Tick(now, false) {
+		for _, o := range m.DueOrders(now, false) {
 			if o.Kind == Release {
 				releases++
 				Expect(o.Target).To(Equal("a"))
@@ -111,20 +111,20 @@
 		now := settle(m, start, []view.Target{target("a"), target("b"), target("c")})
 		now = now.Add(25 * time.Millisecond)
 		m.SetTargets(now, []view.Target{draining(target("a")), target("b"), target("c")})
-		m.Stored(m.Propose(now))
-		for _, o := range m.Tick(now, false) {
+		m.RecordStored(m.Propose(now))
+		for _, o := range m.DueOrders(now, false) {
 			if o.Kind == Release {
-				m.RecordOutcome(now, o, Done, "h")
+				m.RecordOutcome(now, o, OutcomeDone, "h")
 			}
 		}
 		m.SetTargets(now, []view.Target{draining(target("a")), draining(target("b")), target("c")})
 		proposed := m.Propose(now)
 		Expect(proposed).NotTo(BeNil())
-		for _, o := range m.Tick(now, false) {
+		for _, o := range m.DueOrders(now, false) {
 			Expect(o.Kind == Grant && o.Target == "b").To(BeFalse(), "granted %v", o)
 		}
-		m.NotStored()
-		for _, o := range m.Tick(now, false) {
+		m.RecordNotStored()
+		for _, o := range m.DueOrders(now, false) {
 			Expect(o.Kind == Grant && o.Target == "b").To(BeFalse(), "granted %v after the change was not stored", o)
 		}
 	})
@@ -145,21 +145,21 @@
 		for range 600 {
 			now = now.Add(25 * time.Millisecond)
 			m.SetTargets(now, targets)
-			for _, o := range m.Tick(now, false) {
+			for _, o := range m.DueOrders(now, false) {
 				if o.Target == "a" {
 					if o.Kind == Renew {
 						held = held.Later(now.Add(o.Hold + o.Hold/50))
 					}
-					m.RecordOutcome(now, o, Unknown, "")
+					m.RecordOutcome(now, o, OutcomeUnknown, "")
 					continue
 				}
 				if o.Kind == Grant && granted == clock.Never {
 					granted = now
 				}
-				m.RecordOutcome(now, o, Done, "")
+				m.RecordOutcome(now, o, OutcomeDone, "")
 			}
 			if p := m.Propose(now); p != nil {
-				m.Stored(p)
+				m.RecordStored(p)
 			}
 		}
 		Expect(granted).NotTo(Equal(clock.Never))
@@ -192,15 +192,15 @@
 		for range 40 {
 			now = now.Add(25 * time.Millisecond)
 			m.SetTargets(now, []view.Target{restarted, former, target("c")})
-			for _, o := range m.Tick(now, false) {
-				outcome := Done
+			for _, o := range m.DueOrders(now, false) {
+				outcome := OutcomeDone
 				if o.Target == former.ID {
-					outcome = OtherTarget
+					outcome = OutcomeOtherTarget
 				}
 				m.RecordOutcome(now, o, outcome, "h")
 			}
 			if p := m.Propose(now); p != nil {
-				m.Stored(p)
+				m.RecordStored(p)
 			}
 		}
 		Expect(m.holder(restarted.ID).ended).To(BeFalse())
@@ -233,14 +233,14 @@
 		for range 600 {
 			now = now.Add(25 * time.Millisecond)
 			next.SetTargets(now, []view.Target{target("b")})
-			for _, o := range next.Tick(now, false) {
+			for _, o := range next.DueOrders(now, false) {
 				if o.Kind == Grant && granted == clock.Never {
 					granted = now
 				}
-				next.RecordOutcome(now, o, Done, "")
+				next.RecordOutcome(now, o, OutcomeDone, "")
 			}
 			if p := next.Propose(now); p != nil {
-				next.Stored(p)
+				next.RecordStored(p)
 			}
 		}
 		Expect(granted.Sub(tookOver)).To(BeNumerically(">=", config.HoldMax))
@@ -251,10 +251,10 @@
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
 		before := m.Map().Find(0).Fence
-		for _, o := range m.Tick(now.Add(maxRenewInterval), false) {
-			outcome := Done
+		for _, o := range m.DueOrders(now.Add(maxRenewInterval), false) {
+			outcome := OutcomeDone
 			if o.From == 0 {
-				outcome = HigherFence
+				outcome = OutcomeHigherFence
 			}
 			m.RecordOutcome(now.Add(maxRenewInterval), o, outcome, "")
 		}
--- a/coordination/assign/capacity.go
+++ b/coordination/assign/capacity.go
@@ -13,7 +13,7 @@
 	var list []keyrange.Capacity
 	for id, h := range m.holders {
 		if id != except && h.eligible() {
-			list = append(list, keyrange.Capacity{Target: id, Slots: m.capacity(now, h)})
+			list = append(list, keyrange.Capacity{Target: id, AverageSlots: m.capacity(now, h)})
 		}
 	}
 	slices.SortFunc(list, func(a, b keyrange.Capacity) int { return cmp.Compare(a.Target, b.Target) })
--- a/coordination/assign/cold_test.go
+++ b/coordination/assign/cold_test.go
@@ -22,7 +22,7 @@
 var _ = ginkgo.Describe("keys", func() {
 	ginkgo.It("move to a cold target only as far as its cold rate allows, and further when it is warm (guards against a data centre that breaks down when its evacuation ends)", func() {
 		m := NewManager(config, nil, start)
-		m.SetColdRate(2, 500*time.Millisecond)
+		m.SetColdRateAndWork(2, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
 		a, b := target("a"), target("b")
 		now := settle(m, start, []view.Target{a})
@@ -38,7 +38,7 @@
 
 	ginkgo.It("move away from a target that names a limit, except for what it takes, and back when it names none", func() {
 		m := NewManager(config, nil, start)
-		m.SetColdRate(0, 500*time.Millisecond)
+		m.SetColdRateAndWork(0, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
 		list := []view.Target{target("a"), target("b")}
 		now := settle(m, start, list)
--- a/coordination/assign/lost_test.go
+++ b/coordination/assign/lost_test.go
@@ -31,15 +31,15 @@
 			for end := now.Add(length); now < end; {
 				now = now.Add(25 * time.Millisecond)
 				m.SetTargets(now, []view.Target{b})
-				for _, o := range m.Tick(now, false) {
-					outcome := Done
+				for _, o := range m.DueOrders(now, false) {
+					outcome := OutcomeDone
 					if o.Target == "a" {
-						outcome = NotSent
+						outcome = OutcomeNotSent
 					}
 					m.RecordOutcome(now, o, outcome, "h")
 				}
 				if p := m.Propose(now); p != nil {
-					m.Stored(p)
+					m.RecordStored(p)
 				}
 			}
 		}
--- a/coordination/assign/manager.go
+++ b/coordination/assign/manager.go
@@ -114,15 +114,15 @@
 	return slices.ContainsFunc(m.current.Ranges, func(r keyrange.Range) bool { return r.Owner == id || r.Next == id })
 }
 
-// Stored records that the proposed map has been stored, or that another map was found in the store.
-func (m *Manager) Stored(stored *keyrange.Map) {
+// RecordStored records that the proposed map has been stored, or that another map was found in the store.
+func (m *Manager) RecordStored(stored *keyrange.Map) {
 	m.proposed = nil
 	m.adopt(stored)
 }
 
-// NotStored records that the proposed map was not stored. The state of moves that begin with it is
+// RecordNotStored records that the proposed map was not stored. The state of moves that begin with it is
 // deleted: the next proposal has the same version, and may begin other moves under it.
-func (m *Manager) NotStored() {
+func (m *Manager) RecordNotStored() {
 	m.proposed = nil
 	for key := range m.moves {
 		if key.fence > m.current.Version {
@@ -193,9 +193,9 @@
 	}
 }
 
-// SetColdRate sets how many requests a second a cold target takes (0 if no limit is known), and the
+// SetColdRateAndWork sets how many requests a second a cold target takes (0 if no limit is known), and the
 // mean time that a request takes at a target of average speed.
-func (m *Manager) SetColdRate(rate float64, work time.Duration) {
+func (m *Manager) SetColdRateAndWork(rate float64, work time.Duration) {
 	m.coldRate = rate
 	m.requestWork = work.Seconds()
 }
@@ -241,12 +241,12 @@
 // recordHealth records whether a target answers orders.
 func (m *Manager) recordHealth(now clock.Instant, h *holder, outcome Outcome) {
 	switch outcome {
-	case Done, HigherFence:
+	case OutcomeDone, OutcomeHigherFence:
 		h.failingSince = clock.Never
-	case OtherTarget:
+	case OutcomeOtherTarget:
 		h.ended = true
-	case Unverified:
-	case NotSent, Unknown:
+	case OutcomeUnverified:
+	case OutcomeNotSent, OutcomeUnknown:
 		h.lastFailedAt = now
 		if !h.failing() {
 			h.failingSince = now
@@ -259,7 +259,7 @@
 	mv.retryAt = now.Add(retryAfter)
 	if kind == Release {
 		mv.releasing = false
-		if outcome == Done {
+		if outcome == OutcomeDone {
 			mv.released = true
 			mv.handover = handover
 			mv.retryAt = clock.Never
@@ -268,20 +268,20 @@
 	}
 	mv.granting = false
 	switch outcome {
-	case Done:
+	case OutcomeDone:
 		mv.offered = true
 		mv.granted = true
-	case Unknown:
+	case OutcomeUnknown:
 		mv.offered = true
 		mv.unanswered = true
-	case HigherFence:
+	case OutcomeHigherFence:
 		mv.refused = true
 	}
 }
 
-// Tick returns the orders that are due. While the store is unavailable, grants get the longest
+// DueOrders returns the orders that are due. While the store is unavailable, grants get the longest
 // hold.
-func (m *Manager) Tick(now clock.Instant, storeUnavailable bool) []Order {
+func (m *Manager) DueOrders(now clock.Instant, storeUnavailable bool) []Order {
 	hold := m.hold()
 	if storeUnavailable {
 		hold = m.config.HoldMax
@@ -332,7 +332,7 @@
 func (m *Manager) newOrder(now clock.Instant, kind Kind, r keyrange.Range, h *holder, fence uint64, hold time.Duration, handover string) Order {
 	return Order{
 		Kind: kind, Service: m.config.Service, Target: cmp.Or(h.target.ID, r.Owner), Address: h.target.Address,
-		From: r.From, To: r.To, Fence: fence, Hold: hold, Handover: handover, SentAt: now, ConnectedSince: clock.Never,
+		From: r.From, To: r.To, Fence: fence, Hold: hold, Handover: handover, SentAt: now, ConnectionOpenSince: clock.Never,
 	}
 }
 
--- a/coordination/assign/propose.go
+++ b/coordination/assign/propose.go
@@ -82,7 +82,7 @@
 	mv := m.move(now, r)
 	next := m.holder(r.Next)
 	if mv.granted {
-		e.Finish(r.From, r.To)
+		e.FinishMove(r.From, r.To)
 		return
 	}
 	gone := next.ended || next.lost(now) || !next.listed || next.target.Draining
@@ -108,7 +108,7 @@
 	mv.refused = true
 	if mv.offered {
 		// The former next owner may hold the keys, so it must release them like any owner.
-		e.Finish(r.From, r.To)
+		e.FinishMove(r.From, r.To)
 		e.Move(r.From, r.To, target, next.lost(now))
 		return
 	}
--- a/coordination/assign/renew.go
+++ b/coordination/assign/renew.go
@@ -55,7 +55,7 @@
 		return
 	}
 	h.grantsInFlight--
-	if outcome == Done || outcome == Unknown {
+	if outcome == OutcomeDone || outcome == OutcomeUnknown {
 		h.heldUntil = h.heldUntil.Later(now.Add(holdExpiry(o.Hold)))
 	}
 }
@@ -94,7 +94,7 @@
 	state.sentAt = now
 	h.grantsInFlight++
 	o := m.newOrder(now, Renew, r, h, r.Fence, hold, "")
-	o.ConnectedSince = state.confirmedAt
+	o.ConnectionOpenSince = state.confirmedAt
 	return append(orders, o)
 }
 
@@ -108,19 +108,19 @@
 	}
 	r.inFlight = false
 	switch outcome {
-	case Done:
+	case OutcomeDone:
 		r.confirmedAt = o.SentAt
 		if o.Hold < failoverTime {
 			// The target answers again after short holds: it gets the usual hold at once.
 			r.sentAt = clock.Never
 		}
-	case HigherFence:
+	case OutcomeHigherFence:
 		r.closed = true
 		m.moves[key] = &move{refused: true}
-	case Unverified:
+	case OutcomeUnverified:
 		h.unverified = true
-	case Unknown:
-		r.closed = o.ConnectedSince == clock.Never
+	case OutcomeUnknown:
+		r.closed = o.ConnectionOpenSince == clock.Never
 	}
 }
 
--- a/coordination/assign/restart_test.go
+++ b/coordination/assign/restart_test.go
@@ -24,9 +24,9 @@
 	now = now.Add(25 * time.Millisecond)
 	m.SetTargets(now, targets)
 	if p := m.Propose(now); p != nil {
-		m.Stored(p)
+		m.RecordStored(p)
 	}
-	return now, m.Tick(now, false)
+	return now, m.DueOrders(now, false)
 }
 
 var _ = ginkgo.Describe("a target that was restarted under its name", func() {
@@ -49,7 +49,7 @@
 					released = true
 				}
 				Expect(o.Kind == Grant && !released).To(BeFalse(), "granted before the release: %+v", o)
-				m.RecordOutcome(now, o, Done, "h")
+				m.RecordOutcome(now, o, OutcomeDone, "h")
 			}
 		}
 		Expect(released).To(BeTrue())
@@ -79,9 +79,9 @@
 			var orders []Order
 			now, orders = storeAndTick(m, now, targets)
 			for _, o := range orders {
-				outcome := Done
+				outcome := OutcomeDone
 				if o.Target == "a" {
-					outcome = Unverified
+					outcome = OutcomeUnverified
 				}
 				m.RecordOutcome(now, o, outcome, "")
 			}
@@ -109,7 +109,7 @@
 		m := NewManager(config, nil, start)
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
-		m.RecordOutcome(now, Order{Kind: Release, Target: "a"}, Unknown, "")
+		m.RecordOutcome(now, Order{Kind: Release, Target: "a"}, OutcomeUnknown, "")
 		storeAndTick(m, now, targets[1:])
 		Expect(m.Map().Ranges).To(ContainElement(And(HaveField("Owner", "a"), HaveField("Lost", true))))
 	})
--- a/coordination/assign/schedules_test.go
+++ b/coordination/assign/schedules_test.go
@@ -54,7 +54,7 @@
 func (f *fakeTarget) apply(now clock.Instant, o Order) Outcome {
 	for _, key := range sampledKeys {
 		if key >= o.From && key <= o.To && o.Kind != Release && f.held[key].seen > o.Fence && !f.forgetsFences {
-			return HigherFence
+			return OutcomeHigherFence
 		}
 	}
 	for _, key := range sampledKeys {
@@ -70,7 +70,7 @@
 		}
 		f.held[key] = h
 	}
-	return Done
+	return OutcomeDone
 }
 
 // simulation runs managers against fake targets under a random schedule of faults, in virtual time.
@@ -220,7 +220,7 @@
 // time.
 func (s *simulation) deliverLate(m *Manager, f *fakeTarget, o Order) {
 	arrivedAt := s.now
-	s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
+	s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeUnknown, "") })
 	s.events = append(s.events, event{f.stoppedUntil, func() {
 		if !f.up {
 			return
@@ -240,20 +240,20 @@
 		return
 	}
 	switch chance := s.random.IntN(100); {
-	case o.ConnectedSince != clock.Never && (f == nil || f.born > o.ConnectedSince || chance < 2):
+	case o.ConnectionOpenSince != clock.Never && (f == nil || f.born > o.ConnectionOpenSince || chance < 2):
 		// Connections end with the process, and at times without reason.
-		s.scheduleWithin(30*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unverified, "") })
+		s.scheduleWithin(30*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeUnverified, "") })
 	case f == nil || !f.up:
-		s.scheduleWithin(300*time.Millisecond, func() { m.RecordOutcome(s.now, o, NotSent, "") })
+		s.scheduleWithin(300*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeNotSent, "") })
 	case chance < 4:
-		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, NotSent, "") })
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeNotSent, "") })
 	case chance < 8:
 		s.apply(f, o)
-		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeUnknown, "") })
 	case chance < 11 && o.Kind != Release:
 		// Carried out late; the hold counts from the arrival.
 		arrivedAt := s.now
-		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, Unknown, "") })
+		s.scheduleWithin(700*time.Millisecond, func() { m.RecordOutcome(s.now, o, OutcomeUnknown, "") })
 		s.scheduleWithin(9*time.Second, func() {
 			late := o
 			late.Hold = o.Hold - s.now.Sub(arrivedAt)
@@ -263,13 +263,13 @@
 		})
 	default:
 		s.scheduleWithin(30*time.Millisecond, func() {
-			outcome := OtherTarget
+			outcome := OutcomeOtherTarget
 			switch {
 			case f.up:
 				outcome = s.apply(f, o)
 			case s.byName[view.TargetName(o.Target)] != f:
 				// The connection broke. The new process of that name does not refuse the order.
-				outcome = Unknown
+				outcome = OutcomeUnknown
 			}
 			s.scheduleWithin(30*time.Millisecond, func() { m.RecordOutcome(s.now, o, outcome, "h") })
 		})
@@ -281,7 +281,7 @@
 func (s *simulation) apply(f *fakeTarget, o Order) Outcome {
 	outcome := f.apply(s.now, o)
 	for _, key := range sampledKeys {
-		if outcome != Done || o.Kind == Release || key < o.From || key > o.To {
+		if outcome != OutcomeDone || o.Kind == Release || key < o.From || key > o.To {
 			continue
 		}
 		highest := s.highest[key]
@@ -302,7 +302,7 @@
 		list = append(list, s.listed[id])
 	}
 	m.SetTargets(s.now, list)
-	for _, o := range m.Tick(s.now, false) {
+	for _, o := range m.DueOrders(s.now, false) {
 		s.send(m, o)
 	}
 }
@@ -325,7 +325,7 @@
 			s.stored = p
 		}
 		if chance < 90 {
-			m.Stored(p)
+			m.RecordStored(p)
 			return
 		}
 		s.scheduleWithin(500*time.Millisecond, func() {
@@ -333,9 +333,9 @@
 				return
 			}
 			if s.stored.Version == p.Version {
-				m.Stored(s.stored)
+				m.RecordStored(s.stored)
 			} else {
-				m.NotStored()
+				m.RecordNotStored()
 			}
 		})
 	})
--- a/coordination/assign/types.go
+++ b/coordination/assign/types.go
@@ -88,10 +88,10 @@
 	Handover string
 	// SentAt is when the order was sent, over a connection that was open by then.
 	SentAt clock.Instant
-	// ConnectedSince requires a connection that has been open since that time: the target had the
+	// ConnectionOpenSince requires a connection that has been open since that time: the target had the
 	// keys then, and over such a connection the same process answers. clock.Never allows any
 	// connection.
-	ConnectedSince clock.Instant
+	ConnectionOpenSince clock.Instant
 }
 
 // Outcome is what is known about the effect of an order.
@@ -100,19 +100,19 @@
 // The outcomes of orders.
 const (
 	// Done: the target answered that it carried out the order.
-	Done Outcome = "done"
+	OutcomeDone Outcome = "done"
 	// HigherFence: the target refused the order since it has seen a higher fence for one of the
 	// keys.
-	HigherFence Outcome = "higher-fence"
+	OutcomeHigherFence Outcome = "higher-fence"
 	// NotSent: the target is certain not to have received the order.
-	NotSent Outcome = "not-sent"
+	OutcomeNotSent Outcome = "not-sent"
 	// Unknown: the target may have received the order and may still carry it out.
-	Unknown Outcome = "unknown"
+	OutcomeUnknown Outcome = "unknown"
 	// Unverified: the order was not sent, since there is no connection as old as
 	// Order.ConnectedSince. The target may have been restarted since then.
-	Unverified Outcome = "unverified"
+	OutcomeUnverified Outcome = "unverified"
 	// OtherTarget: another process answers at the address, so the target has ended.
-	OtherTarget Outcome = "other-target"
+	OutcomeOtherTarget Outcome = "other-target"
 )
 
 // Config is the configuration of a Manager.
--- a/coordination/keyrange/keyrange_test.go
+++ b/coordination/keyrange/keyrange_test.go
@@ -24,7 +24,7 @@
 	for i := range n {
 		from, to := i*(MaxKey+1)/n, (i+1)*(MaxKey+1)/n-1
 		e.Move(uint16(from), uint16(to), fmt.Sprintf("t%02d", i), false)
-		e.Finish(uint16(from), uint16(to))
+		e.FinishMove(uint16(from), uint16(to))
 	}
 	return e.Map()
 }
@@ -33,7 +33,7 @@
 func capacities(n int) []Capacity {
 	var list []Capacity
 	for i := range n {
-		list = append(list, Capacity{Target: fmt.Sprintf("t%02d", i), Slots: 6})
+		list = append(list, Capacity{Target: fmt.Sprintf("t%02d", i), AverageSlots: 6})
 	}
 	return list
 }
@@ -43,7 +43,7 @@
 	e := m.Edit()
 	for _, mv := range moves {
 		e.Move(mv.From, mv.To, mv.Next, false)
-		e.Finish(mv.From, mv.To)
+		e.FinishMove(mv.From, mv.To)
 	}
 	return e.Map()
 }
@@ -57,7 +57,7 @@
 	return most
 }
 
-var policy = Policy{Imbalance: 1.2, MinGain: 0.05, MaxMoves: 3}
+var policy = Policy{Imbalance: 1.2, MinDifference: 0.05, MaxMoves: 3}
 
 // TestEditor checks the invariants of maps after random changes, and that Diff and Patch, and
 // Encode and Decode, give the same map back.
@@ -70,7 +70,7 @@
 			b := rapid.Uint16().Draw(t, "b")
 			e.Move(min(a, b), max(a, b), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "next"), rapid.Bool().Draw(t, "lost"))
 			if rapid.Bool().Draw(t, "finish") {
-				e.Finish(min(a, b), max(a, b))
+				e.FinishMove(min(a, b), max(a, b))
 			}
 			next := e.Map()
 			checkMap(t, m, next)
@@ -190,7 +190,7 @@
 		for key := range load {
 			load[key] = 12.0 / (MaxKey + 1)
 		}
-		targets[0].Slots = 1
+		targets[0].AverageSlots = 1
 		for range 20 {
 			m = applyMoves(m, Plan(m, load, targets, policy))
 		}
@@ -268,7 +268,7 @@
 		for i := range 4000 {
 			e.Move(uint16(16*i), uint16(16*i+15), fmt.Sprintf("i-%010d", i%450), false)
 			if i%3 > 0 {
-				e.Finish(uint16(16*i), uint16(16*i+15))
+				e.FinishMove(uint16(16*i), uint16(16*i+15))
 			}
 		}
 		m := e.Map()
@@ -305,7 +305,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	targets := capacities(len(speeds))
 	for i := range targets {
-		targets[i].Slots = slots * speeds[i]
+		targets[i].AverageSlots = slots * speeds[i]
 	}
 	m := evenMap(len(speeds))
 	freeAt := map[string][]float64{}
@@ -372,7 +372,7 @@
 	It("does not move among targets that are about equally fast", func() {
 		load := &Load{}
 		load[1000] = 20
-		Expect(Plan(evenMap(4), load, []Capacity{{"t00", 6}, {"t01", 7}, {"t02", 6.5}, {"t03", 5}}, Policy{Imbalance: 1.2, MinGain: 0.12, MaxMoves: 4})).
+		Expect(Plan(evenMap(4), load, []Capacity{{"t00", 6}, {"t01", 7}, {"t02", 6.5}, {"t03", 5}}, Policy{Imbalance: 1.2, MinDifference: 0.12, MaxMoves: 4})).
 			NotTo(ContainElement(HaveField("From", BeNumerically("<=", 1000))))
 	})
 })
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -90,8 +90,8 @@
 	e.update(from, to, func(r *Range) { r.Lost = true })
 }
 
-// Finish ends the move of the keys from..to: their next owner becomes their owner.
-func (e *Editor) Finish(from, to uint16) {
+// FinishMove ends the move of the keys from..to: their next owner becomes their owner.
+func (e *Editor) FinishMove(from, to uint16) {
 	e.update(from, to, func(r *Range) {
 		*r = Range{From: r.From, To: r.To, Owner: r.Next, Fence: r.NextFence}
 	})
--- a/coordination/keyrange/plan.go
+++ b/coordination/keyrange/plan.go
@@ -13,8 +13,8 @@
 // Capacity is a target that may own keys, with its capacity: its slots times its speed relative to
 // the average.
 type Capacity struct {
-	Target string
-	Slots  float64
+	Target       string
+	AverageSlots float64
 }
 
 // Policy sets when ranges are moved to balance the load.
@@ -22,10 +22,10 @@
 	// Imbalance is the ratio of a target's utilisation to the mean from which on keys are moved
 	// away from it.
 	Imbalance float64
-	// MinGain is the least difference in utilisation between the source and the destination of a
+	// MinDifference is the least difference in utilisation between the source and the destination of a
 	// move. A move stops the keys for as long as their running requests take, so small differences,
 	// which come from noise, are not worth a move.
-	MinGain float64
+	MinDifference float64
 	// MaxMoves bounds the moves of one plan.
 	MaxMoves int
 }
@@ -54,7 +54,7 @@
 }
 
 // utilisation returns the work divided by the capacity.
-func (a *targetLoad) utilisation() float64 { return a.work / a.Slots }
+func (a *targetLoad) utilisation() float64 { return a.work / a.AverageSlots }
 
 // planner plans moves for one map and one load.
 type planner struct {
@@ -118,7 +118,7 @@
 		maxWork := math.Inf(1)
 		a := p.byTarget[r.EventualOwner()]
 		if a != nil {
-			maxWork = a.Slots
+			maxWork = a.AverageSlots
 		}
 		for key := int(r.From); key <= int(r.To); key++ {
 			work := float64(load[key])
@@ -144,16 +144,16 @@
 // average target with six slots answered 22, the fastest one 47.
 func (p *planner) nextHotKeyMove() (Move, bool) {
 	for _, a := range p.targets {
-		if a.hottestWork < hotKeyShare*a.Slots {
+		if a.hottestWork < hotKeyShare*a.AverageSlots {
 			continue
 		}
 		best := a
 		for _, b := range p.targets {
-			if b.Slots > best.Slots && b.hottestWork < hotKeyShare*b.Slots {
+			if b.AverageSlots > best.AverageSlots && b.hottestWork < hotKeyShare*b.AverageSlots {
 				best = b
 			}
 		}
-		if best.Slots < hotKeyMinGain*a.Slots {
+		if best.AverageSlots < hotKeyMinGain*a.AverageSlots {
 			continue
 		}
 		p.apply(a, best, Range{From: a.hottestKey, To: a.hottestKey})
@@ -190,7 +190,7 @@
 		}
 		gain := source.utilisation() - dest.utilisation()
 		empty := dest.work == 0
-		if !empty && (source.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinGain) {
+		if !empty && (source.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinDifference) {
 			return Move{}, false
 		}
 		if cut, ok := p.bestCut(source, dest); ok {
@@ -206,7 +206,7 @@
 	work, slots := 0.0, 0.0
 	for _, a := range p.targets {
 		work += a.work
-		slots += a.Slots
+		slots += a.AverageSlots
 	}
 	return work / slots
 }
@@ -226,8 +226,8 @@
 // makes the utilisation of both targets equal. The destination's utilisation grows by at most 90 %
 // of the difference, so it stays below what the source's was.
 func (p *planner) bestCut(source, dest *targetLoad) (Range, bool) {
-	wanted := (source.work*dest.Slots - dest.work*source.Slots) / (source.Slots + dest.Slots)
-	maxWork := (source.utilisation() - dest.utilisation()) * dest.Slots * 0.9
+	wanted := (source.work*dest.AverageSlots - dest.work*source.AverageSlots) / (source.AverageSlots + dest.AverageSlots)
+	maxWork := (source.utilisation() - dest.utilisation()) * dest.AverageSlots * 0.9
 	best, bestDiff := Range{}, math.Inf(1)
 	consider := func(from, to uint16, work float64) {
 		if work > maxWork || work <= 0 {
--- a/coordination/keyrange/reassign.go
+++ b/coordination/keyrange/reassign.go
@@ -38,13 +38,13 @@
 func (p *planner) assignRange(r Range, level float64, moves []Move) []Move {
 	for from := r.From; ; {
 		dest := p.leastUtilised()
-		minWork := minSplitShare * dest.Slots
+		minWork := minSplitShare * dest.AverageSlots
 		if r.Owner == "" {
 			// The load of keys without a former owner is not known yet.
 			minWork = 0
 		}
 		to := r.To
-		room := max(level*dest.Slots-dest.work, 0)
+		room := max(level*dest.AverageSlots-dest.work, 0)
 		// A little more than the room is not worth another range.
 		if rest := p.work(from, to); rest > max(minWork, room*overfillFactor) {
 			to = p.firstKeyReaching(from, to, max(room, minWork/overfillFactor))
@@ -74,12 +74,12 @@
 	for _, a := range p.targets {
 		high = max(high, a.utilisation())
 	}
-	high += work/p.targets[0].Slots + 1
+	high += work/p.targets[0].AverageSlots + 1
 	for range 40 {
 		middle := (low + high) / 2
 		room := 0.0
 		for _, a := range p.targets {
-			room += max(0, middle*a.Slots-a.work)
+			room += max(0, middle*a.AverageSlots-a.work)
 		}
 		if room < work {
 			low = middle
--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -25,7 +25,7 @@
 	if t.committing || now < t.retryAt {
 		return
 	}
-	t.retryAt = now.Add(commitIntervalPerTarget * time.Duration(len(t.c.board.Load().Targets)))
+	t.retryAt = now.Add(commitIntervalPerTarget * time.Duration(len(t.c.board.Snapshot().Targets)))
 	proposed := map[string]*keyrange.Map{}
 	for service, m := range t.managers {
 		if p := m.Propose(now); p != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.c.log("map-not-written", "error", err.Error())
 		for service := range proposed {
-			t.managers[service].NotStored()
+			t.managers[service].RecordNotStored()
 		}
 		return
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	for service := range proposed {
-		t.managers[service].NotStored()
+		t.managers[service].RecordNotStored()
 	}
 	t.c.log("commit-failed", "error", err.Error(), "maps", len(proposed))
 }
@@ -159,7 +159,7 @@
 		if found := s.maps[service]; found != nil && found.Version != m.Map().Version {
 			t.publishMap(service, found)
 		} else {
-			m.NotStored()
+			m.RecordNotStored()
 		}
 	}
 }
@@ -167,7 +167,7 @@
 // publishMap puts a stored map into force.
 func (t *term) publishMap(service string, m *keyrange.Map) {
 	changed := m.Diff(t.managers[service].Map())
-	t.managers[service].Stored(m)
+	t.managers[service].RecordStored(m)
 	t.c.board.SetMap(service, m)
 	t.c.log("map-stored", "service", service, "map", m.Version, "ranges", len(m.Ranges), "changed", len(changed), "first", describeRanges(changed))
 }
--- a/coordination/lead/evacuation_test.go
+++ b/coordination/lead/evacuation_test.go
@@ -27,7 +27,7 @@
 	read := func() []string {
 		_, err := r.readRules(context.Background(), 0)
 		Expect(err).NotTo(HaveOccurred())
-		return r.board.Load().Evacuations.List()
+		return r.board.Snapshot().Evacuations.List()
 	}
 	remove := func(key string) {
 		s.version++
@@ -65,22 +65,22 @@
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
 		syncOnce(leader, follower)
-		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeTrue())
+		Expect(follower.board.Snapshot().Evacuations.Contains("dc1")).To(BeTrue())
 		leader.board.SetEvacuations(4, nil)
 		syncOnce(leader, follower)
-		Expect(follower.board.Load().Evacuations.Contains("dc1")).To(BeFalse())
+		Expect(follower.board.Snapshot().Evacuations.Contains("dc1")).To(BeFalse())
 		leader.board.SetEvacuations(5, []string{"dc2"})
 		starting := newCoordinator()
 		args := starting.newSyncArgs()
 		args.Starting = true
 		starting.applyReply(starting.clock.Now(), args, leader.updateFor(args))
-		Expect(starting.board.Load().Evacuations.Contains("dc2")).To(BeTrue())
+		Expect(starting.board.Snapshot().Evacuations.Contains("dc2")).To(BeTrue())
 	})
 
 	It("count as an update for an instance that does not know them (guards against holding its report while requests still go to evacuated targets)", func() {
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
-		Expect(hasUpdateFor(follower.newSyncArgs(), leader.board.Load())).To(BeTrue())
+		Expect(hasUpdateFor(follower.newSyncArgs(), leader.board.Snapshot())).To(BeTrue())
 	})
 })
 
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -131,7 +131,7 @@
 
 // newSyncArgs returns a report that asks for everything newer than this instance's snapshot.
 func (c *Coordinator) newSyncArgs() *peerapi.SyncArgs {
-	snapshot := c.board.Load()
+	snapshot := c.board.Snapshot()
 	c.mu.Lock()
 	refused := c.rulesRefused
 	answers := c.storeAnsweredAt != clock.Never && c.clock.Now().Sub(c.storeAnsweredAt) < renewalOverdueAfter
@@ -228,13 +228,13 @@
 	c.applyInstances(args, reply)
 	c.quarantine.MarkReported(args.Quarantine)
 	c.quarantine.Adopt(reply.Quarantine, reply.QuarantineVersion)
-	c.history.record(c.board.Load(), c.versionsToRecord())
+	c.history.record(c.board.Snapshot(), c.versionsToRecord())
 	return taken
 }
 
 // versionsToRecord returns how many versions of the snapshot this instance records for replies.
 func (c *Coordinator) versionsToRecord() int {
-	if len(c.board.Load().Instances) <= treeWidth || c.isStoreRelay() || slices.Contains(c.duties().treeRelays, c.config.Self.Address) {
+	if len(c.board.Snapshot().Instances) <= treeWidth || c.isStoreRelay() || slices.Contains(c.duties().treeRelays, c.config.Self.Address) {
 		return historyLength
 	}
 	return shortHistoryLength
@@ -243,7 +243,7 @@
 // applyTargets applies the targets of a reply. It reports whether they were accepted: they are not
 // if the sender has read less of the registry than this instance.
 func (c *Coordinator) applyTargets(reply *peerapi.SyncReply, at clock.Instant) bool {
-	snapshot := c.board.Load()
+	snapshot := c.board.Snapshot()
 	if reply.TargetsDigest == snapshot.TargetsDigest {
 		c.board.ConfirmTargets(at)
 		return true
@@ -271,7 +271,7 @@
 	}
 	var list []view.Instance
 	if !reply.InstancesWhole {
-		snapshot := c.board.Load()
+		snapshot := c.board.Snapshot()
 		if snapshot.InstancesVersion != args.InstancesVersion {
 			// The changes are relative to another list; the next reply will have them.
 			return
@@ -290,7 +290,7 @@
 func (c *Coordinator) applyMapUpdate(service string, update peerapi.MapUpdate) {
 	base := keyrange.Empty()
 	if update.From != 0 {
-		base = c.board.Load().Maps[service]
+		base = c.board.Snapshot().Maps[service]
 		if base == nil || base.Version != update.From {
 			return
 		}
--- a/coordination/lead/full_state_test.go
+++ b/coordination/lead/full_state_test.go
@@ -27,7 +27,7 @@
 		from := i * (keyrange.MaxKey + 1) / targetCount
 		to := (i+1)*(keyrange.MaxKey+1)/targetCount - 1
 		e.Move(uint16(from), uint16(to), id, false)
-		e.Finish(uint16(from), uint16(to))
+		e.FinishMove(uint16(from), uint16(to))
 	}
 	now := clock.System{}.Now()
 	c.board.SetTargets(5, list, now)
@@ -66,9 +66,9 @@
 		before := reply.Whole
 		Expect(unpackFullState(reply)).To(Succeed())
 		starting.applyReply(starting.clock.Now(), args, reply)
-		Expect(starting.board.Load().TargetsDigest).To(Equal(c.board.Load().TargetsDigest))
-		Expect(starting.board.Load().Instances).To(Equal(c.board.Load().Instances))
-		Expect(starting.board.Load().Maps).To(Equal(c.board.Load().Maps))
+		Expect(starting.board.Snapshot().TargetsDigest).To(Equal(c.board.Snapshot().TargetsDigest))
+		Expect(starting.board.Snapshot().Instances).To(Equal(c.board.Snapshot().Instances))
+		Expect(starting.board.Snapshot().Maps).To(Equal(c.board.Snapshot().Maps))
 		c.board.SetInstances(view.InstancesVersion{Term: 1, Count: 2}, nil)
 		Expect(c.updateFor(args).Whole).NotTo(Equal(before))
 	})
@@ -88,14 +88,14 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range 2 * historyLength {
-			e := c.board.Load().Maps["bookings"].Edit()
+			e := c.board.Snapshot().Maps["bookings"].Edit()
 			e.Move(uint16(i*400), uint16(i*400+100), "next", false)
 			c.board.SetMap("bookings", e.Map())
-			list := maps.Clone(c.board.Load().Targets)
+			list := maps.Clone(c.board.Snapshot().Targets)
 			id := fmt.Sprint("new", i)
 			list[id] = view.Target{ID: id, Service: "s", Address: id}
 			c.board.SetTargets(uint64(10+i), list, clock.System{}.Now())
-			c.history.record(c.board.Load(), c.versionsToRecord())
+			c.history.record(c.board.Snapshot(), c.versionsToRecord())
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/coordination/lead/handover.go
+++ b/coordination/lead/handover.go
@@ -63,7 +63,7 @@
 // knowsMuchLarger reports whether the snapshot lists a much larger instance. Such an instance is
 // given time to bid for a lease whose holder has just left.
 func (c *Coordinator) knowsMuchLarger() bool {
-	return slices.ContainsFunc(c.board.Load().Instances, func(i view.Instance) bool { return muchLarger(i, c.config.Self) })
+	return slices.ContainsFunc(c.board.Snapshot().Instances, func(i view.Instance) bool { return muchLarger(i, c.config.Self) })
 }
 
 // beginHandOver reports whether this instance may hand the lease over now, and if so notes that it
--- a/coordination/lead/lead_test.go
+++ b/coordination/lead/lead_test.go
@@ -35,7 +35,7 @@
 
 // syncOnce has a follower report to the leader and apply the reply, as over the network.
 func syncOnce(leader, follower *Coordinator) *peerapi.SyncReply {
-	s := follower.board.Load()
+	s := follower.board.Snapshot()
 	args := &peerapi.SyncArgs{
 		RulesVersion: s.RulesVersion, TargetsDigest: s.TargetsDigest, InstancesVersion: s.InstancesVersion, MapVersions: map[string]uint64{},
 	}
@@ -77,7 +77,7 @@
 		syncOnce(leader, follower)
 		read(5, "a", "b")
 		Expect(syncOnce(leader, follower).TargetsWhole).To(BeTrue())
-		Expect(follower.board.Load().Targets).To(HaveLen(2))
+		Expect(follower.board.Snapshot().Targets).To(HaveLen(2))
 	})
 
 	It("contains only the targets that have changed", func() {
@@ -87,7 +87,7 @@
 		reply := syncOnce(leader, follower)
 		Expect(reply.TargetsWhole).To(BeFalse())
 		Expect(reply.Targets).To(HaveLen(1))
-		Expect(follower.board.Load().Targets).To(HaveLen(3))
+		Expect(follower.board.Snapshot().Targets).To(HaveLen(3))
 	})
 
 	It("contains nothing when nothing has changed", func() {
@@ -116,7 +116,7 @@
 		leader.board.SetTargets(6, list, now)
 		reply := syncOnce(leader, follower)
 		Expect(reply.Targets).To(HaveLen(1))
-		Expect(follower.board.Load().TargetsDigest).To(Equal(leader.board.Load().TargetsDigest))
+		Expect(follower.board.Snapshot().TargetsDigest).To(Equal(leader.board.Snapshot().TargetsDigest))
 	})
 
 	It("does not bring back a target that the sender only retains and the follower has seen removed (guards against a relay that was cut off)", func() {
@@ -125,10 +125,10 @@
 		now := clock.System{}.Now()
 		follower.board.SetLeaderTargets(5, makeTargets("y"), view.Retained{}, now)
 		leader.board.SetTargets(9, makeTargets("y"), now.Add(10*time.Second))
-		Expect(leader.board.Load().Targets).To(HaveKey("x"))
+		Expect(leader.board.Snapshot().Targets).To(HaveKey("x"))
 		syncOnce(leader, follower)
-		Expect(follower.board.Load().Targets).NotTo(HaveKey("x"))
-		Expect(follower.board.Load().Targets).To(HaveKey("y"))
+		Expect(follower.board.Snapshot().Targets).NotTo(HaveKey("x"))
+		Expect(follower.board.Snapshot().Targets).To(HaveKey("y"))
 	})
 
 	It("contains the instances that joined and left", func() {
@@ -146,7 +146,7 @@
 		Expect(reply.InstancesWhole).To(BeFalse())
 		Expect(reply.Instances).To(HaveLen(1))
 		Expect(reply.InstancesGone).To(Equal([]string{"b"}))
-		Expect(follower.board.Load().Instances).To(Equal(leader.board.Load().Instances))
+		Expect(follower.board.Snapshot().Instances).To(Equal(leader.board.Snapshot().Instances))
 		Expect(syncOnce(leader, follower).Instances).To(BeEmpty())
 	})
 
@@ -161,9 +161,9 @@
 			if i < 10 || i%100 == 0 {
 				reply := syncOnce(leader, follower)
 				Expect(reply.Maps["s"].From == 0).To(Equal(i == 0 || i > historyLength), "change %d", i)
-				Expect(follower.board.Load().Maps["s"]).To(Equal(m))
+				Expect(follower.board.Snapshot().Maps["s"]).To(Equal(m))
 			} else {
-				leader.history.record(leader.board.Load(), historyLength)
+				leader.history.record(leader.board.Snapshot(), historyLength)
 			}
 		}
 	})
@@ -171,6 +171,6 @@
 	It("is ignored when it does not apply", func() {
 		follower.applyMapUpdate("s", peerapi.MapUpdate{Version: 7, From: 6, Changed: []keyrange.Range{{From: 0, To: 9}}})
 		follower.applyMapUpdate("s", peerapi.MapUpdate{Version: 7, Changed: []keyrange.Range{{From: 0, To: 9}}})
-		Expect(follower.board.Load().Maps).To(BeEmpty())
+		Expect(follower.board.Snapshot().Maps).To(BeEmpty())
 	})
 })
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -121,7 +121,7 @@
 	}
 	evacuated := map[string]bool{}
 	if !whole || r.restoredAt != clock.Never {
-		for _, dataCentre := range r.board.Load().Evacuations.List() {
+		for _, dataCentre := range r.board.Snapshot().Evacuations.List() {
 			evacuated[dataCentre] = true
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	maps.DeleteFunc(evacuated, func(_ string, inForce bool) bool { return !inForce })
 	if r.board.SetEvacuations(version, slices.Collect(maps.Keys(evacuated))) {
-		r.log("evacuations-changed", "evacuated", r.board.Load().Evacuations.List(), "read", version)
+		r.log("evacuations-changed", "evacuated", r.board.Snapshot().Evacuations.List(), "read", version)
 	}
 }
 
@@ -143,7 +143,7 @@
 		r.log("rules-refused", "error", err.Error(), "row", row.Version)
 		return
 	}
-	set = set.ReuseFrom(r.board.Load().Rules)
+	set = set.ReuseFrom(r.board.Snapshot().Rules)
 	adopted := r.board.SetRules(version, set, at)
 	recordRules(r.log, learntRules{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
 }
--- a/coordination/lead/reader_test.go
+++ b/coordination/lead/reader_test.go
@@ -85,7 +85,7 @@
 	}
 
 	knownIDs := func() (ids []string) {
-		for id := range r.board.Load().Targets {
+		for id := range r.board.Snapshot().Targets {
 			ids = append(ids, id)
 		}
 		return ids
@@ -187,7 +187,7 @@
 		c := New(Config{Self: view.Instance{ID: "i1", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 		e := keyrange.Empty().Edit()
 		e.Move(0, keyrange.MaxKey, "x@1", false)
-		e.Finish(0, 999)
+		e.FinishMove(0, 999)
 		m := e.Map()
 		t := c.bid(context.Background(), &stored{
 			lease: lease.Row{Holder: "i0", Term: 1}, leaseVersion: 9,
@@ -198,7 +198,7 @@
 		Expect(s.taken.Expect[2]).To(Equal(store.Expect{ID: eraRow(1)}))
 		Expect(s.taken.Expect[1].Version).To(Equal(uint64(7)))
 		Expect(t.stored.mapVersions).To(HaveKeyWithValue("s", uint64(20)))
-		raised := c.board.Load().Maps["s"]
+		raised := c.board.Snapshot().Maps["s"]
 		Expect(raised.Find(0).Fence).To(BeNumerically(">", m.Version))
 		Expect(raised.Find(1000).NextFence).To(BeNumerically(">", m.Version))
 		Expect(raised.Find(0).Owner).To(Equal("x@1"))
--- a/coordination/lead/relay.go
+++ b/coordination/lead/relay.go
@@ -55,7 +55,7 @@
 // duties returns which instances have which duty. It is called many times a second, so the ranking
 // is cached until the list of instances changes or a leader is lost.
 func (c *Coordinator) duties() duties {
-	s := c.board.Load()
+	s := c.board.Snapshot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cachedDuties.version != s.InstancesVersion || c.cachedDuties.lostLeader != c.lostLeader {
@@ -71,7 +71,7 @@
 // leader, which may include this one. All instances with the same list of instances get the same
 // result.
 func (c *Coordinator) storeRelays() []string {
-	if len(c.board.Load().Instances) == 0 {
+	if len(c.board.Snapshot().Instances) == 0 {
 		return c.config.Seeds
 	}
 	return c.duties().storeRelays
@@ -294,7 +294,7 @@
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
-		snapshot := c.board.Load()
+		snapshot := c.board.Snapshot()
 		c.mu.Lock()
 		leader, found := c.leader, c.leaderFound
 		c.mu.Unlock()
--- a/coordination/lead/relay_test.go
+++ b/coordination/lead/relay_test.go
@@ -123,9 +123,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		all["a01"].board.SetRules(3, set, known)
 		starting.askSeeds(context.Background())
-		Expect(starting.board.Load().Targets).To(HaveLen(2))
-		Expect(starting.board.Load().RulesVersion).To(Equal(uint64(3)))
-		Expect(starting.board.Load().Instances).To(HaveLen(3))
+		Expect(starting.board.Snapshot().Targets).To(HaveLen(2))
+		Expect(starting.board.Snapshot().RulesVersion).To(Equal(uint64(3)))
+		Expect(starting.board.Snapshot().Instances).To(HaveLen(3))
 		Expect(starting.board.CurrentAsOf()).To(BeNumerically("~", known, time.Second))
 		Expect(starting.Leader()).To(Equal(lease.Row{}))
 	})
@@ -278,7 +278,7 @@
 			c.mu.Unlock()
 		}
 		for _, c := range waiting {
-			Eventually(func() uint64 { return c.board.Load().RulesVersion }, "400ms", "5ms").Should(Equal(uint64(2)), c.config.Self.ID)
+			Eventually(func() uint64 { return c.board.Snapshot().RulesVersion }, "400ms", "5ms").Should(Equal(uint64(2)), c.config.Self.ID)
 		}
 	})
 })
--- a/coordination/lead/restore.go
+++ b/coordination/lead/restore.go
@@ -123,7 +123,7 @@
 
 // useNewestMaps replaces maps of the restored store by newer ones that this instance knows.
 func (c *Coordinator) useNewestMaps(s *stored) {
-	newest := maps.Clone(c.board.Load().Maps)
+	newest := maps.Clone(c.board.Snapshot().Maps)
 	c.mu.Lock()
 	if c.priorTerm.stillExclusive(c.clock.Now()) {
 		maps.Copy(newest, c.priorTerm.maps)
--- a/coordination/lead/restore_test.go
+++ b/coordination/lead/restore_test.go
@@ -29,7 +29,7 @@
 		for range changes {
 			e := m.Edit()
 			e.Move(0, keyrange.MaxKey, owner, false)
-			e.Finish(0, keyrange.MaxKey)
+			e.FinishMove(0, keyrange.MaxKey)
 			m = e.Map()
 		}
 		return m
@@ -97,7 +97,7 @@
 		next := checkLease()
 		Expect(next).NotTo(BeNil())
 		Expect(next.stored.lease.Term).To(BeNumerically(">", row.Term))
-		r := c.board.Load().Maps["s"].Find(0)
+		r := c.board.Snapshot().Maps["s"].Find(0)
 		Expect(r.Owner).To(Equal("y"))
 		Expect(r.Fence).To(BeNumerically(">", store.VersionOf(2, 0)))
 		Expect(s.rows).To(HaveKey(eraRow(2)))
@@ -129,7 +129,7 @@
 		checkLease()
 		now.now = now.now.Add(time.Minute)
 		Expect(checkLease()).NotTo(BeNil())
-		Expect(c.board.Load().Maps["s"].Find(0).Owner).To(Equal("y"))
+		Expect(c.board.Snapshot().Maps["s"].Find(0).Owner).To(Equal("y"))
 	})
 
 	It("refuses changes of a former era (guards against a condition that holds by chance)", func() {
@@ -153,7 +153,7 @@
 		read := func() string {
 			_, err := r.readRules(context.Background(), 0)
 			Expect(err).NotTo(HaveOccurred())
-			return strings.Join(r.board.Load().Evacuations.List(), " ")
+			return strings.Join(r.board.Snapshot().Evacuations.List(), " ")
 		}
 		rows.put("evacuate/dc1", "{}")
 		rows.put("evacuate/dc2", "{}")
--- a/coordination/lead/rules.go
+++ b/coordination/lead/rules.go
@@ -79,7 +79,7 @@
 	c.mu.Lock()
 	c.rulesRefused = err != nil
 	c.mu.Unlock()
-	if err == nil && c.board.Load().RulesVersion >= reply.RulesVersion {
+	if err == nil && c.board.Snapshot().RulesVersion >= reply.RulesVersion {
 		c.board.ConfirmRules(reply.RulesRead, at)
 	}
 	return err
@@ -87,7 +87,7 @@
 
 func (c *Coordinator) applyRulesChanges(reply *peerapi.SyncReply, at clock.Instant) error {
 	begun := time.Now()
-	s := c.board.Load()
+	s := c.board.Snapshot()
 	if reply.RulesChanges == nil || s.RulesVersion >= reply.RulesVersion {
 		return nil
 	}
--- a/coordination/lead/rules_test.go
+++ b/coordination/lead/rules_test.go
@@ -102,7 +102,7 @@
 	}
 
 	weight := func(c *Coordinator) int {
-		return c.board.Load().Rules.Rules()[0].Then.Backends[0].Weight
+		return c.board.Snapshot().Rules.Rules()[0].Then.Backends[0].Weight
 	}
 
 	BeforeEach(func() {
@@ -120,7 +120,7 @@
 		s.write(2, count, 60)
 		read(leader)
 		Expect(sizeOf(syncOnce(leader, follower))).To(BeNumerically("<", 4<<10))
-		Expect(follower.board.Load().RulesVersion).To(Equal(uint64(2)))
+		Expect(follower.board.Snapshot().RulesVersion).To(Equal(uint64(2)))
 		Expect(weight(follower)).To(Equal(60))
 	})
 
@@ -133,7 +133,7 @@
 		read(follower)
 		Expect(s.decodes).To(Equal(decodes))
 		Expect(s.scans).To(Equal(scans))
-		Expect(follower.board.Load().RulesVersion).To(Equal(uint64(1)))
+		Expect(follower.board.Snapshot().RulesVersion).To(Equal(uint64(1)))
 	})
 })
 
@@ -188,7 +188,7 @@
 			s.mu.Lock()
 			s.write(uint64(2+change), 1, 60)
 			s.mu.Unlock()
-			Eventually(func() uint64 { return c.board.Load().RulesVersion }, "2s", "1ms").Should(Equal(uint64(2 + change)))
+			Eventually(func() uint64 { return c.board.Snapshot().RulesVersion }, "2s", "1ms").Should(Equal(uint64(2 + change)))
 			Consistently(age, "1s", "5ms").Should(BeNumerically("<", rulesFeedWait+350*time.Millisecond))
 		}
 	})
@@ -248,6 +248,6 @@
 		Eventually(s.waiting.Load, "2s", "5ms").Should(BeEquivalentTo(1))
 		s.hangs.Store(false)
 		c.noteStoreResult(ctx, nil)
-		Eventually(func() uint64 { return c.board.Load().RulesVersion }, "500ms", "5ms").Should(Equal(uint64(1)))
+		Eventually(func() uint64 { return c.board.Snapshot().RulesVersion }, "500ms", "5ms").Should(Equal(uint64(1)))
 	})
 })
--- a/coordination/lead/start.go
+++ b/coordination/lead/start.go
@@ -103,7 +103,7 @@
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
-		snapshot := c.board.Load()
+		snapshot := c.board.Snapshot()
 		c.mu.Lock()
 		leader, found := c.leader, c.leaderFound
 		c.mu.Unlock()
--- a/coordination/lead/start_test.go
+++ b/coordination/lead/start_test.go
@@ -89,7 +89,7 @@
 }
 
 func knowsEverything(c *Coordinator) bool {
-	s := c.board.Load()
+	s := c.board.Snapshot()
 	return s.Rules != nil && len(s.Targets) > 0 && len(s.Maps) > 0 && len(s.Instances) > 0
 }
 
@@ -165,13 +165,13 @@
 		delete(all, "a00")
 		c, _ := newStarting(0, all, row, nil)
 		runAll(c)
-		Eventually(func() bool { return len(c.board.Load().Targets) > 0 }, "100ms", "5ms").Should(BeTrue())
+		Eventually(func() bool { return len(c.board.Snapshot().Targets) > 0 }, "100ms", "5ms").Should(BeTrue())
 	})
 
 	It("read by themselves when no seed replies", func() {
 		row.Holder = ""
 		c, _ := newStarting(0, all, row, []string{"nobody"})
 		runAll(c)
-		Eventually(func() bool { return len(c.board.Load().Targets) > 0 }, maxSeedWait+200*time.Millisecond, "5ms").Should(BeTrue())
+		Eventually(func() bool { return len(c.board.Snapshot().Targets) > 0 }, maxSeedWait+200*time.Millisecond, "5ms").Should(BeTrue())
 	})
 })
--- a/coordination/lead/sync.go
+++ b/coordination/lead/sync.go
@@ -57,7 +57,7 @@
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
-		snapshot := c.board.Load()
+		snapshot := c.board.Snapshot()
 		if hasUpdateFor(args, snapshot) {
 			c.batchUpdates(ctx, args)
 			return
@@ -79,7 +79,7 @@
 	if args.Relayed {
 		// Each reply costs processor time in the whole fleet, whichever instance sends it: with a
 		// move every 70 ms and no delay, 280 followers would each receive 14 replies a second.
-		count = len(c.board.Load().Instances)
+		count = len(c.board.Snapshot().Instances)
 	}
 	if !args.Starting {
 		sleep(ctx, batchDelayPerReport*time.Duration(count))
@@ -111,7 +111,7 @@
 		RulesRead: c.board.RulesReadVersion(), TargetsRead: c.board.TargetsReadVersion(), TargetsKept: c.board.Retained(), Age: c.clock.Now().Sub(c.board.CurrentAsOf()),
 	}
 	reply.Quarantine, reply.QuarantineVersion = c.quarantine.UpdateSince(args.QuarantineVersion)
-	s := c.board.Load()
+	s := c.board.Snapshot()
 	reply.RulesVersion, reply.TargetsDigest = s.RulesVersion, s.TargetsDigest
 	if s.Evacuations.Version > args.EvacuationsVersion {
 		reply.EvacuationsVersion, reply.Evacuated = s.Evacuations.Version, s.Evacuations.List()
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -33,7 +33,7 @@
 	// mu guards the fields from holder to knewMembers. No lock but the Board's is taken while it is
 	// held.
 	mu              sync.Mutex
-	holder          lease.Holder
+	holder          lease.OwnLease
 	members         map[string]*member
 	memberListCount uint64
 	// membersJoined says that members have joined since the list was last published.
@@ -82,7 +82,7 @@
 	c.priorTerm = priorTerm{}
 	c.heardFromLeader = true
 	c.mu.Unlock()
-	for _, i := range c.board.Load().Instances {
+	for _, i := range c.board.Snapshot().Instances {
 		t.members[i.ID] = &member{Instance: i, reportedAt: now}
 	}
 	t.members[c.config.Self.ID] = &member{Instance: c.config.Self, reportedAt: now}
@@ -120,7 +120,7 @@
 		}
 	}
 	t.mu.Lock()
-	t.holder.Release()
+	t.holder.GivenUp()
 	t.mu.Unlock()
 	t.c.quarantine.StopLeading()
 	t.c.log("lease-ended", "term", t.stored.lease.Term)
@@ -145,7 +145,7 @@
 	t.refreshLoad(now)
 	t.checkStoreAvailable(now, until)
 	for _, m := range t.managers {
-		for _, o := range m.Tick(now, t.storeUnavailable) {
+		for _, o := range m.DueOrders(now, t.storeUnavailable) {
 			t.sendOrder(ctx, o)
 		}
 	}
@@ -173,7 +173,7 @@
 
 // refreshTargets passes the known targets to the managers.
 func (t *term) refreshTargets(now clock.Instant) {
-	snapshot := t.c.board.Load()
+	snapshot := t.c.board.Snapshot()
 	if snapshot.Rules == nil || snapshot == t.lastSnapshot && now.Sub(t.loadReadAt) < loadInterval {
 		return
 	}
@@ -191,7 +191,7 @@
 			t.managers[s.Name] = m
 		}
 		m.SetTargets(now, placementTargets(snapshot, snapshot.ByService[s.Name], leaving))
-		m.SetColdRate(s.ColdRate, t.c.collector.MeanWork(s.Name))
+		m.SetColdRateAndWork(s.ColdRate, t.c.collector.MeanWork(s.Name))
 	}
 }
 
@@ -230,7 +230,7 @@
 		m.SetLoad(t.c.aggregator.Load(service, now))
 		m.SetLimits(limits)
 	}
-	targets := t.c.board.Load().Targets
+	targets := t.c.board.Snapshot().Targets
 	t.c.orders.RetainTargets(func(id string) bool { _, ok := targets[id]; return ok })
 }
 
@@ -238,7 +238,7 @@
 func (t *term) sendOrder(ctx context.Context, o assign.Order) {
 	go func() {
 		outcome, handover, sentAt := t.c.orders.Do(ctx, o)
-		if outcome == assign.Done {
+		if outcome == assign.OutcomeDone {
 			o.SentAt = sentAt
 		}
 		result := func() { t.recordOutcome(o, outcome, handover) }
@@ -256,7 +256,7 @@
 		return
 	}
 	m.RecordOutcome(t.c.clock.Now(), o, outcome, handover)
-	if o.Kind != assign.Renew || outcome != assign.Done {
+	if o.Kind != assign.Renew || outcome != assign.OutcomeDone {
 		t.c.log("order", "kind", string(o.Kind), "service", o.Service, "target", o.Target, "from", o.From, "to", o.To, "fence", o.Fence, "outcome", string(outcome))
 	}
 }
--- a/coordination/lead/timing.go
+++ b/coordination/lead/timing.go
@@ -56,7 +56,7 @@
 
 // scaleToFleet stretches a pause that many instances make at the same time.
 func (c *Coordinator) scaleToFleet(pause time.Duration) time.Duration {
-	return pause * time.Duration(max(smallFleet, len(c.board.Load().Instances))) / smallFleet
+	return pause * time.Duration(max(smallFleet, len(c.board.Snapshot().Instances))) / smallFleet
 }
 
 // pauseAfterFailure stretches the pause after a failed call of an instance that is not a relay.
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -181,7 +181,7 @@
 	timer := time.NewTimer(min(args.Wait, syncHold))
 	defer timer.Stop()
 	for {
-		snapshot := c.board.Load()
+		snapshot := c.board.Snapshot()
 		if hasUpdateFor(args, snapshot) {
 			c.batchUpdates(ctx, args)
 			return
--- a/coordination/lead/tree_test.go
+++ b/coordination/lead/tree_test.go
@@ -102,7 +102,7 @@
 	}
 	t.publishMembers()
 	for _, c := range g.coordinators {
-		c.board.SetInstances(g.leader.board.Load().InstancesVersion, g.leader.board.Load().Instances)
+		c.board.SetInstances(g.leader.board.Snapshot().InstancesVersion, g.leader.board.Snapshot().Instances)
 		c.setLeader(g.row)
 	}
 	return g
@@ -145,7 +145,7 @@
 	defer g.mu.Unlock()
 	count := 0
 	for address, c := range g.coordinators {
-		if !g.down[address] && c.board.Load().RulesVersion < version {
+		if !g.down[address] && c.board.Snapshot().RulesVersion < version {
 			count++
 		}
 	}
@@ -203,7 +203,7 @@
 		}, "2s", "250ms").Should(BeNumerically(">", 0))
 		time.Sleep(2 * memberTimeout)
 		g.leader.term.updateMembers(g.leader.clock.Now())
-		Expect(g.leader.board.Load().Instances).To(HaveLen(120))
+		Expect(g.leader.board.Snapshot().Instances).To(HaveLen(120))
 	})
 
 	// Guards against a leaving target that keeps its keys while nobody sends it requests: it cannot
@@ -213,7 +213,7 @@
 		g := newLargeFleet(120, 5)
 		g.start()
 		g.coordinators[g.instances[119].Address].targetStatus.RecordStatus("x", true, 0)
-		Eventually(func() []string { return g.leader.leavingTargets(g.leader.board.Load()) }, "1.5s", "20ms").Should(ConsistOf("x"))
+		Eventually(func() []string { return g.leader.leavingTargets(g.leader.board.Snapshot()) }, "1.5s", "20ms").Should(ConsistOf("x"))
 		Expect(placementTargets(&view.Snapshot{}, []view.Target{{ID: "x"}, {ID: "y"}}, []string{"x"})).To(Equal([]view.Target{{ID: "x", Draining: true}, {ID: "y"}}))
 	})
 
@@ -226,7 +226,7 @@
 		leaves.mu.Unlock()
 		Eventually(func() int {
 			g.leader.term.updateMembers(g.leader.clock.Now())
-			return len(g.leader.board.Load().Instances)
+			return len(g.leader.board.Snapshot().Instances)
 		}, memberTimeout, "25ms").Should(Equal(119))
 	})
 
--- a/coordination/lead/vacate.go
+++ b/coordination/lead/vacate.go
@@ -69,7 +69,7 @@
 		return
 	}
 	t.mu.Lock()
-	t.holder.Release()
+	t.holder.GivenUp()
 	t.mu.Unlock()
 	t.ended = true
 	held := t.grantsUntil(now)
--- a/coordination/lead/vacate_test.go
+++ b/coordination/lead/vacate_test.go
@@ -37,7 +37,7 @@
 type noOrders struct{}
 
 func (noOrders) Do(context.Context, assign.Order) (assign.Outcome, string, clock.Instant) {
-	return assign.NotSent, "", clock.Never
+	return assign.OutcomeNotSent, "", clock.Never
 }
 func (noOrders) RetainTargets(func(string) bool) {}
 
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.longest = max(h.longest, o.Hold)
-	return assign.Done, "", clock.System{}.Now()
+	return assign.OutcomeDone, "", clock.System{}.Now()
 }
 
 var _ = Describe("a leader that is stopped", func() {
@@ -153,7 +153,7 @@
 		c.board.SetRules(1, set, c.clock.Now())
 		e := keyrange.Empty().Edit()
 		e.Move(0, keyrange.MaxKey, "x", false)
-		e.Finish(0, keyrange.MaxKey)
+		e.FinishMove(0, keyrange.MaxKey)
 		row := lease.Row{Holder: c.config.Self.ID, Address: "a00", Term: 3}
 		t := c.beginTerm(&stored{lease: row, leaseVersion: 9, maps: map[string]*keyrange.Map{"s": e.Map()}, mapVersions: map[string]uint64{"s": 9}}, c.clock.Now())
 		t.retryAt = c.clock.Now().Add(time.Hour)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -66,24 +66,24 @@
 	return r, nil
 }
 
-// Holder tracks a lease that this instance may hold. The zero value holds no lease.
-type Holder struct {
+// OwnLease tracks a lease that this instance may hold. The zero value holds no lease.
+type OwnLease struct {
 	// renewedAt is when the last successful renewal was begun.
 	renewedAt clock.Instant
 	held      bool
 }
 
 // Renewed records that a renewal that was begun at the given time has taken effect.
-func (h *Holder) Renewed(begun clock.Instant) {
+func (h *OwnLease) Renewed(begun clock.Instant) {
 	h.renewedAt = begun
 	h.held = true
 }
 
-// Release records that the lease is given up.
-func (h *Holder) Release() { h.held = false }
+// GivenUp records that the lease is given up.
+func (h *OwnLease) GivenUp() { h.held = false }
 
 // Until returns the time by which the holder must stop acting; clock.Never if it holds no lease.
-func (h *Holder) Until() clock.Instant {
+func (h *OwnLease) Until() clock.Instant {
 	if !h.held {
 		return clock.Never
 	}
@@ -91,7 +91,7 @@
 }
 
 // Valid reports whether the holder may act under the lease.
-func (h *Holder) Valid(now clock.Instant) bool { return now < h.Until() }
+func (h *OwnLease) Valid(now clock.Instant) bool { return now < h.Until() }
 
 // Observer tracks the lease's row for an instance that does not hold the lease.
 type Observer struct {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -22,7 +22,7 @@
 	// for the duration of a lease from when it sees the new version, while the holder counts from
 	// the answer. The holder must count from the beginning of the renewal.
 	It("ends for its holder before any other instance may take it", func() {
-		var h Holder
+		var h OwnLease
 		var o Observer
 		begun, seen, answered := start, start.Add(300*time.Millisecond), start.Add(600*time.Millisecond)
 		h.Renewed(begun)
@@ -35,7 +35,7 @@
 	})
 
 	It("is not free for an observer whose clock runs fast within the tolerance", func() {
-		var h Holder
+		var h OwnLease
 		var o Observer
 		h.Renewed(start)
 		o.Observe(7, false, start)
@@ -62,10 +62,10 @@
 	})
 
 	It("is not valid before the first renewal and after its release", func() {
-		var h Holder
+		var h OwnLease
 		Expect(h.Valid(start)).To(BeFalse())
 		h.Renewed(start)
-		h.Release()
+		h.GivenUp()
 		Expect(h.Valid(start)).To(BeFalse())
 	})
 })
--- a/coordination/view/board.go
+++ b/coordination/view/board.go
@@ -101,8 +101,8 @@
 	return b
 }
 
-// Load returns the current snapshot.
-func (b *Board) Load() *Snapshot { return b.current.Load() }
+// Snapshot returns the current snapshot.
+func (b *Board) Snapshot() *Snapshot { return b.current.Load() }
 
 // publish replaces the current snapshot by a changed copy of it. The caller holds the lock.
 func (b *Board) publish(change func(*Snapshot)) {
--- a/coordination/view/board_test.go
+++ b/coordination/view/board_test.go
@@ -47,7 +47,7 @@
 		b = NewBoard(c)
 	})
 
-	known := func(id string) bool { _, ok := b.Load().Targets[id]; return ok }
+	known := func(id string) bool { _, ok := b.Snapshot().Targets[id]; return ok }
 
 	It("drops a target that the registry has removed, when it was read without interruption", func() {
 		for at := time.Second; at <= 4*time.Second; at += 400 * time.Millisecond {
@@ -154,9 +154,9 @@
 
 	It("publishes no snapshot when nothing has changed", func() {
 		read(time.Second, "x")
-		before := b.Load()
+		before := b.Snapshot()
 		read(1400*time.Millisecond, "x")
-		Expect(b.Load()).To(BeIdenticalTo(before))
+		Expect(b.Snapshot()).To(BeIdenticalTo(before))
 	})
 
 	It("never adopts an older map or list of targets", func() {
@@ -166,7 +166,7 @@
 		m2 := keyrange.Empty().Edit().Map()
 		Expect(b.SetMap("s", m2)).To(BeTrue())
 		Expect(b.SetMap("s", keyrange.Empty())).To(BeFalse())
-		Expect(b.Load().Maps["s"]).To(Equal(m2))
+		Expect(b.Snapshot().Maps["s"]).To(Equal(m2))
 	})
 
 	It("returns the name of a target from its ID, for any name", func() {
@@ -188,7 +188,7 @@
 		c.now = clock.Instant(3 * time.Second)
 		list["x"] = x
 		b.SetTargets(2, list, c.now)
-		Expect(b.Load().Targets["x"].DrainingAt).To(Equal(clock.Instant(time.Second)))
+		Expect(b.Snapshot().Targets["x"].DrainingAt).To(Equal(clock.Instant(time.Second)))
 	})
 
 	It("keeps targets draining that a store restored from a copy lists as ready", func() {
@@ -199,10 +199,10 @@
 		c.now = clock.Instant(time.Hour)
 		b.SetTargets(store.VersionOf(1, 900), list, c.now)
 		b.SetTargets(store.VersionOf(2, 300), targetList("x", "y"), c.now.Add(300*time.Millisecond))
-		Expect(b.Load().Targets["x"].Draining).To(BeTrue())
-		Expect(b.Load().Targets["y"].Draining).To(BeFalse())
+		Expect(b.Snapshot().Targets["x"].Draining).To(BeTrue())
+		Expect(b.Snapshot().Targets["y"].Draining).To(BeFalse())
 		b.SetTargets(store.VersionOf(2, 310), targetList("x", "y"), c.now.Add(700*time.Millisecond))
-		Expect(b.Load().Targets["x"].Draining).To(BeTrue())
+		Expect(b.Snapshot().Targets["x"].Draining).To(BeTrue())
 	})
 
 	It("retains a target that a store restored from a copy lacks, for two seconds", func() {
--- a/coordination/view/evacuation_test.go
+++ b/coordination/view/evacuation_test.go
@@ -27,7 +27,7 @@
 
 	It("gets no new work at once, and no requests at all after evacuationGrace", func() {
 		Expect(b.SetEvacuations(5, []string{"dc1"})).To(BeTrue())
-		s := b.Load()
+		s := b.Snapshot()
 		Expect(s.AcceptsNewWork(x)).To(BeFalse())
 		Expect(s.AcceptsNewWork(Target{DataCentre: "dc2"})).To(BeTrue())
 		Expect(s.Excluded(x, c.now)).To(BeFalse())
@@ -37,21 +37,21 @@
 	It("stays evacuated when an older update arrives (guards against a relay that lags behind)", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		Expect(b.SetEvacuations(4, nil)).To(BeFalse())
-		Expect(b.Load().Evacuations.Contains("dc1")).To(BeTrue())
+		Expect(b.Snapshot().Evacuations.Contains("dc1")).To(BeTrue())
 	})
 
 	It("keeps its start time when another data centre is evacuated", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		c.now = c.now.Add(time.Second)
 		b.SetEvacuations(6, []string{"dc2", "dc1"})
-		Expect(b.Load().Evacuations.Since["dc1"]).To(Equal(c.now.Add(-time.Second)))
-		Expect(b.Load().Evacuations.List()).To(Equal([]string{"dc1", "dc2"}))
+		Expect(b.Snapshot().Evacuations.Since["dc1"]).To(Equal(c.now.Add(-time.Second)))
+		Expect(b.Snapshot().Evacuations.List()).To(Equal([]string{"dc1", "dc2"}))
 	})
 
 	It("has targets that count as cold when the evacuation ends (guards against a rush before their entries say so)", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		b.SetEvacuations(6, nil)
-		s := b.Load()
+		s := b.Snapshot()
 		Expect(s.AcceptsNewWork(x)).To(BeTrue())
 		Expect(s.ColdUntil(x)).To(Equal(c.now.Add(3 * time.Second)))
 		Expect(s.ColdRate("s")).To(Equal(5.0))
@@ -60,9 +60,9 @@
 
 	It("publishes no snapshot when nothing has changed", func() {
 		b.SetEvacuations(5, []string{"dc1"})
-		before := b.Load()
+		before := b.Snapshot()
 		Expect(b.SetEvacuations(7, []string{"dc1"})).To(BeFalse())
-		Expect(b.Load()).To(BeIdenticalTo(before))
+		Expect(b.Snapshot()).To(BeIdenticalTo(before))
 	})
 })
 
@@ -77,9 +77,9 @@
 		b.SetTargets(1, list, c.now)
 		other := &fakeClock{now: clock.Instant(time.Minute)}
 		board := NewBoard(other)
-		sent := b.Load().Targets["x"].ForSync(c.now.Add(time.Second))
+		sent := b.Snapshot().Targets["x"].ForSync(c.now.Add(time.Second))
 		board.SetLeaderTargets(1, map[string]Target{"x": sent}, Retained{}, other.now)
-		Expect(board.Load().Targets["x"].ColdUntil).To(Equal(other.now.Add(2 * time.Second)))
-		Expect(board.Load().TargetsDigest).To(Equal(b.Load().TargetsDigest))
+		Expect(board.Snapshot().Targets["x"].ColdUntil).To(Equal(other.now.Add(2 * time.Second)))
+		Expect(board.Snapshot().TargetsDigest).To(Equal(b.Snapshot().TargetsDigest))
 	})
 })
--- a/instance/adminbackend.go
+++ b/instance/adminbackend.go
@@ -26,7 +26,7 @@
 
 // Ready implements admin.Backend.
 func (o adminBackend) Ready() (bool, string) {
-	s := o.board.Load()
+	s := o.board.Snapshot()
 	switch {
 	case o.leaving.Load():
 		return false, "this instance is shutting down"
@@ -40,7 +40,7 @@
 
 // describe returns this instance's current state, as operators see it.
 func (i *Instance) describe(args *peerapi.DescribeArgs) *peerapi.Description {
-	s := i.board.Load()
+	s := i.board.Snapshot()
 	d := &peerapi.Description{
 		Instance: i.self, RulesVersion: s.RulesVersion, Maps: map[string]uint64{},
 		Known: i.clock.Now().Sub(i.board.CurrentAsOf()),
@@ -89,7 +89,7 @@
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, other := range o.board.Load().Instances {
+	for _, other := range o.board.Snapshot().Instances {
 		if other.ID == o.self.ID {
 			continue
 		}
@@ -110,7 +110,7 @@
 
 // Status implements admin.Backend.
 func (o adminBackend) Status(ctx context.Context) admin.Status {
-	s := o.board.Load()
+	s := o.board.Snapshot()
 	leader := o.coordinator.Leader()
 	status := admin.Status{
 		Instance: o.self.ID, Leader: leader.Holder, Term: leader.Term, Leading: o.coordinator.Leading(),
@@ -147,7 +147,7 @@
 }
 
 func (o adminBackend) serviceStatus(name string) admin.ServiceStatus {
-	s := o.board.Load()
+	s := o.board.Snapshot()
 	out := admin.ServiceStatus{Name: name}
 	keys := map[string]int{}
 	if m := s.Maps[name]; m != nil {
@@ -172,7 +172,7 @@
 // Explain implements admin.Backend.
 func (o adminBackend) Explain(req admin.ExplainRequest) admin.Explanation {
 	e := admin.Explanation{Number: -1}
-	s := o.board.Load()
+	s := o.board.Snapshot()
 	if s.Rules == nil {
 		e.Outcome, e.Detail = "refused", "no rules are known yet"
 		return e
@@ -207,7 +207,7 @@
 }
 
 func (o adminBackend) explainKey(e *admin.Explanation, d rules.Decision) {
-	s := o.board.Load()
+	s := o.board.Snapshot()
 	if !s.Rules.Service(e.Service).Keyed {
 		return
 	}
@@ -264,7 +264,7 @@
 	if !o.platform.OwnRules {
 		return 0, errRulesOfPlatform
 	}
-	change.Version = o.board.Load().RulesVersion + 1
+	change.Version = o.board.Snapshot().RulesVersion + 1
 	version, err := rulestore.Apply(ctx, o.platform.Store, base, change)
 	o.log.Event("rules-change", "base", base, "version", version, "author", change.Author, "change", change.ChangeID, "error", errorText(err))
 	return version, err
--- a/instance/broker.go
+++ b/instance/broker.go
@@ -73,7 +73,7 @@
 
 // poolTargets lists the targets of a pool.
 func (b *broker) poolTargets(id permit.PoolID) []permit.Target {
-	s := b.board.Load()
+	s := b.board.Snapshot()
 	if id.Target != "" {
 		// The asking instance may lack processor time and not know yet that a target leaves. The
 		// keeper, which is another instance, checks it too.
@@ -125,7 +125,7 @@
 // Targets that are cold or have announced a limit are left out: without the keeper nothing bounds
 // the sum of what all instances send to them.
 func (b *broker) fallbackTargets(id permit.PoolID) []permit.Target {
-	instances := len(b.board.Load().Instances)
+	instances := len(b.board.Snapshot().Instances)
 	now := b.clock.Now()
 	list := slices.DeleteFunc(slices.Clone(b.poolTargets(id)), func(s permit.Target) bool { return s.Cold(now) || b.hasLimit(s.ID) })
 	for i := range list {
@@ -143,7 +143,7 @@
 func (b *broker) keeperOf(id permit.PoolID, dataCentre string) view.Instance {
 	best, bestScore, bestSameDataCentre := b.self, math.Inf(-1), false
 	duty := id.Service + "/" + id.Target + "/" + id.Group
-	for _, i := range b.poolKeepers(b.board.Load()) {
+	for _, i := range b.poolKeepers(b.board.Snapshot()) {
 		sameDataCentre := dataCentre != "" && i.DataCentre == dataCentre
 		if bestSameDataCentre && !sameDataCentre {
 			continue
@@ -170,7 +170,7 @@
 
 // Acquire gets a permit for the given target, or for any target of the service if none is given.
 func (b *broker) Acquire(ctx context.Context, ask permit.Ask) (permit.Permit, error) {
-	s := b.board.Load()
+	s := b.board.Snapshot()
 	if len(s.Instances) == 0 {
 		// The list of instances is not known yet.
 		return b.acquireLocally(ctx, b.fallbackPools, ask)
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -58,7 +58,7 @@
 // settings.
 var balancePolicy = keyrange.Policy{
 	// With six slots a smaller difference is one request more or less.
-	MinGain: 0.12,
+	MinDifference: 0.12,
 }
 
 // Instance is a running instance: its listeners, its state and its background loops.
@@ -236,7 +236,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			targets := i.board.Load().Targets
+			targets := i.board.Snapshot().Targets
 			listed := func(id string) bool { _, known := targets[id]; return known }
 			i.pool.CloseExpired(listed)
 			i.targetStatus.Prune(listed)
--- a/transport/front/attempt.go
+++ b/transport/front/attempt.go
@@ -18,7 +18,7 @@
 // attempt sends the request to the target of the permit and reports whether to make another
 // attempt. ctx bounds the work at the target, wait bounds waiting in this instance.
 func (c *call) attempt(ctx, wait context.Context, p permit.Permit) (result, bool) {
-	t, known := c.h.board.Load().Targets[p.Target]
+	t, known := c.h.board.Snapshot().Targets[p.Target]
 	if !known || !c.maySendTo(t) {
 		// The target's state may have changed while the request waited for the permit.
 		c.h.permits.Release(c.permitReport(p, permit.Dropped, 0))
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -114,7 +114,7 @@
 // route evaluates the rules and sets the rule, service, key and deadline of the request. It returns
 // false with a result if the request goes no further.
 func (c *call) route() (result, bool) {
-	c.snapshot = c.h.board.Load()
+	c.snapshot = c.h.board.Snapshot()
 	if c.snapshot.Rules == nil {
 		return notExecuted("no-rules", startupRetryAfter), false
 	}
@@ -217,11 +217,11 @@
 // enough time is left. The target is empty for services without keys.
 func (c *call) findOwner(ctx context.Context) (string, result, bool) {
 	if !c.keyed {
-		c.snapshot = c.h.board.Load()
+		c.snapshot = c.h.board.Snapshot()
 		return "", result{}, true
 	}
 	for {
-		c.snapshot = c.h.board.Load()
+		c.snapshot = c.h.board.Snapshot()
 		m := c.snapshot.Maps[c.service.Name]
 		if m == nil {
 			return "", notExecuted("no-owner", startupRetryAfter), false
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -180,11 +180,11 @@
 // it; lost says that the owner was lost.
 func (f *fixture) setOwner(owner, next string, lost bool) {
 	e := keyrange.Empty().Edit()
-	if m := f.board.Load().Maps["keyed"]; m != nil {
+	if m := f.board.Snapshot().Maps["keyed"]; m != nil {
 		e = m.Edit()
 	}
 	e.Move(0, keyrange.MaxKey, owner, false)
-	e.Finish(0, keyrange.MaxKey)
+	e.FinishMove(0, keyrange.MaxKey)
 	if next != "" {
 		e.Move(0, keyrange.MaxKey, next, lost)
 	}
--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -103,26 +103,26 @@
 	if o.Kind != assign.Release {
 		release, err := c.acquireGrantSlot(ctx, o.Target)
 		if err != nil {
-			return assign.NotSent, "", clock.Never
+			return assign.OutcomeNotSent, "", clock.Never
 		}
 		defer release()
 	}
 	cn, err := c.connect(ctx, o)
 	if errors.Is(err, errNoOldConnection) {
-		return assign.Unverified, "", clock.Never
+		return assign.OutcomeUnverified, "", clock.Never
 	}
 	if err != nil || !c.isLeader() {
 		if cn != nil {
 			c.put(o.Target, cn)
 		}
-		return assign.NotSent, "", clock.Never
+		return assign.OutcomeNotSent, "", clock.Never
 	}
 	sentAt = c.clock.Now()
 	resp, err := c.exchange(cn, o)
 	if err != nil {
 		abort(cn)
 		c.removeClosed(o.Target, cn)
-		return assign.Unknown, "", sentAt
+		return assign.OutcomeUnknown, "", sentAt
 	}
 	if resp.Close {
 		cn.Close()
@@ -132,13 +132,13 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return assign.Done, c.encoder.Handover(resp.Header), sentAt
+		return assign.OutcomeDone, c.encoder.Handover(resp.Header), sentAt
 	case http.StatusConflict:
-		return assign.HigherFence, "", sentAt
+		return assign.OutcomeHigherFence, "", sentAt
 	case http.StatusMisdirectedRequest:
-		return assign.OtherTarget, "", sentAt
+		return assign.OutcomeOtherTarget, "", sentAt
 	}
-	return assign.Unknown, "", sentAt
+	return assign.OutcomeUnknown, "", sentAt
 }
 
 // errNoGrantSlot means that no slot for a grant to the target became free in time.
@@ -242,7 +242,7 @@
 		if cn != nil {
 			return cn, nil
 		}
-		if o.ConnectedSince == clock.Never {
+		if o.ConnectionOpenSince == clock.Never {
 			return c.dial(ctx, o)
 		}
 		if changed == nil {
@@ -319,7 +319,7 @@
 
 // isOldEnoughFor reports whether the connection has been open for as long as the order requires.
 func (cn *conn) isOldEnoughFor(o assign.Order) bool {
-	return o.ConnectedSince == clock.Never || cn.openedAt <= o.ConnectedSince
+	return o.ConnectionOpenSince == clock.Never || cn.openedAt <= o.ConnectionOpenSince
 }
 
 // removeClosed removes a connection that has been closed.
--- a/transport/orders/orders_test.go
+++ b/transport/orders/orders_test.go
@@ -57,7 +57,7 @@
 	always := func() bool { return true }
 	names := wire.Names{Target: "Target"}
 	renewal := func(address string, n int) assign.Order {
-		return assign.Order{Kind: assign.Renew, Target: "t1", Address: address, From: uint16(n), To: uint16(n), Fence: 1, Hold: time.Second, ConnectedSince: clock.Never}
+		return assign.Order{Kind: assign.Renew, Target: "t1", Address: address, From: uint16(n), To: uint16(n), Fence: 1, Hold: time.Second, ConnectionOpenSince: clock.Never}
 	}
 
 	// Guards against a connection for each renewal. A target may own 20 ranges, each renewed every
@@ -71,7 +71,7 @@
 				round.Go(func() {
 					defer GinkgoRecover()
 					outcome, _, _ := c.Do(context.Background(), renewal(address, n))
-					Expect(outcome).To(Equal(assign.Done))
+					Expect(outcome).To(Equal(assign.OutcomeDone))
 				})
 			}
 			round.Wait()
@@ -86,7 +86,7 @@
 		address, _ := countingTarget(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
 		c := NewClient(testEncoder{}, names, clock.System{}, func() bool { return false })
 		outcome, _, _ := c.Do(context.Background(), renewal(address, 1))
-		Expect(outcome).To(Equal(assign.NotSent))
+		Expect(outcome).To(Equal(assign.OutcomeNotSent))
 		Expect(requests.Load()).To(BeZero())
 	})
 
@@ -104,18 +104,18 @@
 		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		do := func(since clock.Instant) assign.Outcome {
 			o := renewal(address, 1)
-			o.ConnectedSince = since
+			o.ConnectionOpenSince = since
 			outcome, _, _ := c.Do(context.Background(), o)
 			return outcome
 		}
 		_, _, lastGrant := c.Do(context.Background(), renewal(address, 1))
-		Expect(do(lastGrant)).To(Equal(assign.Done))
+		Expect(do(lastGrant)).To(Equal(assign.OutcomeDone))
 		s.CloseClientConnections()
-		Expect(do(lastGrant)).To(Equal(assign.Unverified))
+		Expect(do(lastGrant)).To(Equal(assign.OutcomeUnverified))
 		Expect(requests.Load()).To(Equal(int64(2)))
-		Expect(do(clock.Never)).To(Equal(assign.Done))
-		Expect(do(lastGrant)).To(Equal(assign.Unverified))
-		Expect(do(clock.System{}.Now())).To(Equal(assign.Done))
+		Expect(do(clock.Never)).To(Equal(assign.OutcomeDone))
+		Expect(do(lastGrant)).To(Equal(assign.OutcomeUnverified))
+		Expect(do(clock.System{}.Now())).To(Equal(assign.OutcomeDone))
 	})
 
 	// Guards against keys that are unserved while the store is unavailable. When all holds are
@@ -131,9 +131,9 @@
 			round.Go(func() {
 				defer GinkgoRecover()
 				o := renewal(address, n)
-				o.ConnectedSince = lastGrant
+				o.ConnectionOpenSince = lastGrant
 				outcome, _, _ := c.Do(context.Background(), o)
-				Expect(outcome).To(Equal(assign.Done))
+				Expect(outcome).To(Equal(assign.OutcomeDone))
 			})
 		}
 		round.Wait()
@@ -157,8 +157,8 @@
 		})
 		c := NewClient(testEncoder{}, names, clock.System{}, always)
 		for code, want := range map[int]assign.Outcome{
-			http.StatusOK: assign.Done, http.StatusConflict: assign.HigherFence,
-			http.StatusMisdirectedRequest: assign.OtherTarget, http.StatusInternalServerError: assign.Unknown,
+			http.StatusOK: assign.OutcomeDone, http.StatusConflict: assign.OutcomeHigherFence,
+			http.StatusMisdirectedRequest: assign.OutcomeOtherTarget, http.StatusInternalServerError: assign.OutcomeUnknown,
 		} {
 			status = code
 			outcome, _, _ := c.Do(context.Background(), renewal(address, 1))
