--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -101,15 +101,15 @@
 	return c.durationOf(rule)
 }
 
-// MeanAnswerSize returns the mean size of a rule's answers, in bytes; 0 before the first answer.
-func (c *Collector) MeanAnswerSize(rule string) float64 {
+// MeanResponseSize returns the mean size of a rule's answers, in bytes; 0 before the first answer.
+func (c *Collector) MeanResponseSize(rule string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ruleSizes[rule]
 }
 
-// Answer is what is measured about an answer of a target.
-type Answer struct {
+// Response is what is measured about an answer of a target.
+type Response struct {
 	Took time.Duration
 	// Size is the size of the body, in bytes.
 	Size int
@@ -121,8 +121,8 @@
 	Limit float64
 }
 
-// RecordAnswer records an answer of a target to a request of a rule.
-func (c *Collector) RecordAnswer(target, rule string, a Answer) {
+// RecordResponse records an answer of a target to a request of a rule.
+func (c *Collector) RecordResponse(target, rule string, a Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if mean, known := c.ruleSizes[rule]; known {
@@ -179,8 +179,8 @@
 	}
 }
 
-// Drain returns the measurements since the last call.
-func (c *Collector) Drain() ([]peerapi.KeyLoad, []peerapi.TargetStats) {
+// TakeMeasurements returns the measurements since the last call.
+func (c *Collector) TakeMeasurements() ([]peerapi.KeyLoad, []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	work := make([]peerapi.KeyLoad, 0, len(c.work))
--- a/coordination/demand/demand_test.go
+++ b/coordination/demand/demand_test.go
@@ -86,12 +86,12 @@
 var _ = Describe("a collector", func() {
 	It("returns each request once, with the mean work of its rule", func() {
 		c := NewCollector()
-		c.RecordAnswer("t", "r", Answer{Took: 200 * time.Millisecond, Size: 100})
+		c.RecordResponse("t", "r", Response{Took: 200 * time.Millisecond, Size: 100})
 		c.RecordArrival("s", "r", 7)
 		c.RecordArrival("s", "r", 7)
-		work, _ := c.Drain()
+		work, _ := c.TakeMeasurements()
 		Expect(work).To(Equal([]peerapi.KeyLoad{{Service: "s", Key: 7, Seconds: 0.4}}))
-		work, _ = c.Drain()
+		work, _ = c.TakeMeasurements()
 		Expect(work).To(BeEmpty())
 	})
 })
--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -44,10 +44,10 @@
 	Policy  keyrange.Policy
 	// Quarantine holds the requests that have crashed targets. If nil, the coordinator creates a
 	// registry of its own.
-	Quarantine *quarantine.Registry
+	Quarantine *quarantine.Tracker
 	// TargetStatus holds what targets have reported about themselves in answers to this instance.
 	// If nil, the coordinator creates a registry of its own.
-	TargetStatus *targetstatus.Registry
+	TargetStatus *targetstatus.Tracker
 }
 
 // Rows of this package in the store. The lease and the maps share a part, so that each change of a
@@ -75,9 +75,9 @@
 	reader     *reader
 	// targetStatus holds the targets that have announced in an answer that they are leaving; the leader
 	// moves their keys away.
-	targetStatus *targetstatus.Registry
+	targetStatus *targetstatus.Tracker
 	// quarantine is synchronized between instances along with the reports.
-	quarantine *quarantine.Registry
+	quarantine *quarantine.Tracker
 
 	wake chan struct{}
 
@@ -144,10 +144,10 @@
 // New returns a coordinator. It does nothing until Run is called.
 func New(config Config, c clock.Clock, s store.Store, board *view.Board, peers Peers, orders Orders, collector *demand.Collector, log Log) *Coordinator {
 	if config.Quarantine == nil {
-		config.Quarantine = quarantine.NewRegistry(time.Now)
+		config.Quarantine = quarantine.NewTracker(time.Now)
 	}
 	if config.TargetStatus == nil {
-		config.TargetStatus = targetstatus.NewRegistry(c, 0)
+		config.TargetStatus = targetstatus.NewTracker(c, 0)
 	}
 	return &Coordinator{
 		config: config, clock: c, store: s, board: board, peers: peers, orders: orders,
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -92,7 +92,7 @@
 func (c *Coordinator) reportTo(ctx context.Context, address string, leaving bool) bool {
 	args := c.newSyncArgs()
 	args.Leaving = leaving
-	args.Work, args.Pace = c.collector.Drain()
+	args.Work, args.Pace = c.collector.TakeMeasurements()
 	args.Members = c.downstreamMembers()
 	if c.isStoreRelay() || c.hasDownstreams() {
 		args.Wait = relaySyncHold
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -223,7 +223,7 @@
 		return
 	}
 	t.loadReadAt = now
-	work, stats := t.c.collector.Drain()
+	work, stats := t.c.collector.TakeMeasurements()
 	t.c.aggregator.AddReport(work, stats, now)
 	limits := t.c.aggregator.Limits(now)
 	for service, m := range t.managers {
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -86,7 +86,7 @@
 	args.Leaving = leaving
 	args.Relayed = true
 	args.Wait = syncHold - relaySyncHold
-	args.Work, args.Pace = c.collector.Drain()
+	args.Work, args.Pace = c.collector.TakeMeasurements()
 	begun := c.clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	reply, err := c.peers.Sync(callCtx, relay, args)
--- a/coordination/permit/cold.go
+++ b/coordination/permit/cold.go
@@ -18,7 +18,7 @@
 
 // updateCold starts spacing requests when the target has become cold.
 func (t *poolTarget) updateCold(now clock.Instant) {
-	cold := t.Cold(now)
+	cold := t.IsCold(now)
 	if cold && !t.coldSpaced {
 		t.nextColdSend = now.Add(t.coldInterval())
 	}
@@ -28,7 +28,7 @@
 // untilNextSend returns the time until the target may get the next request.
 func (t *poolTarget) untilNextSend(now clock.Instant) time.Duration {
 	wait := t.untilAllowed(now)
-	if t.Cold(now) {
+	if t.IsCold(now) {
 		wait = max(wait, t.nextColdSend.Sub(now))
 	}
 	return wait
@@ -40,7 +40,7 @@
 // recordSend counts a request to the target against its limit and its cold rate.
 func (t *poolTarget) recordSend(now clock.Instant) {
 	t.consume(now)
-	if t.Cold(now) {
+	if t.IsCold(now) {
 		t.nextColdSend = now.Add(t.coldInterval())
 	}
 }
@@ -55,7 +55,7 @@
 // this target, for requests that are expected to take the given time.
 func (t *poolTarget) rateLimitedSlots(expected time.Duration, now clock.Instant) float64 {
 	slots := t.equivalentSlots(now)
-	if t.Cold(now) {
+	if t.IsCold(now) {
 		slots = min(slots, t.ColdRate*expected.Seconds())
 	}
 	if perSecond, limited := t.perSecond(); limited {
--- a/coordination/permit/cold_test.go
+++ b/coordination/permit/cold_test.go
@@ -34,7 +34,7 @@
 				}
 			}
 			count++
-			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Dropped}, f.now)
+			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultDropped}, f.now)
 		}
 		return count
 	}
@@ -84,6 +84,6 @@
 	})
 
 	g.It("is not cold if no cold rate is known", func() {
-		Expect(Target{ColdUntil: clock.Instant(time.Hour)}.Cold(0)).To(BeFalse())
+		Expect(Target{ColdUntil: clock.Instant(time.Hour)}.IsCold(0)).To(BeFalse())
 	})
 })
--- a/coordination/permit/limit_test.go
+++ b/coordination/permit/limit_test.go
@@ -45,7 +45,7 @@
 				continue
 			}
 			count++
-			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Served, Took: time.Millisecond, Heard: true, Limit: stated}, f.now)
+			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: time.Millisecond, Heard: true, Limit: stated}, f.now)
 		}
 		return count
 	}
--- a/coordination/permit/locality_test.go
+++ b/coordination/permit/locality_test.go
@@ -60,7 +60,7 @@
 			} else {
 				count.late++
 			}
-			f.report(Report{ID: e.p.ID, Target: e.p.Target, Rule: "r", Result: Served, Took: f.now.Sub(f.granted[e.p.ID].grantedAt)}, f.now)
+			f.report(Report{ID: e.p.ID, Target: e.p.Target, Rule: "r", Result: ResultServed, Took: f.now.Sub(f.granted[e.p.ID].grantedAt)}, f.now)
 		}
 		running = rest
 		if random.IntN(1000) < perSecond {
--- a/coordination/permit/permit_test.go
+++ b/coordination/permit/permit_test.go
@@ -50,7 +50,7 @@
 }
 
 func (f *fixture) served(p Permit, took time.Duration) {
-	f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Served, Took: took}, f.now)
+	f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: took}, f.now)
 	f.serveQueue(f.now)
 }
 
@@ -188,7 +188,7 @@
 			if err != nil {
 				break
 			}
-			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Failed}, f.now)
+			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultFailed}, f.now)
 		}
 		Expect(f.capacity(100*time.Millisecond, f.now).rateLimitedSlots).To(BeNumerically(">", 0))
 	})
@@ -251,7 +251,7 @@
 		defer cancel()
 		_, err = k.Acquire(ctx, ask("2"))
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		k.Release(PoolID{Service: "s"}, Report{ID: "1", Target: "a", Rule: "r", Result: Served, Took: time.Millisecond})
+		k.Release(PoolID{Service: "s"}, Report{ID: "1", Target: "a", Rule: "r", Result: ResultServed, Took: time.Millisecond})
 		p, err := k.Acquire(context.Background(), ask("3"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("a"))
@@ -326,7 +326,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		k.Release(PoolID{Service: "s"}, Report{ID: p.ID, Target: p.Target, Rule: "r", Result: Served, Took: time.Millisecond})
+		k.Release(PoolID{Service: "s"}, Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: time.Millisecond})
 	}
 }
 
@@ -351,7 +351,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			begun := ticks()
 			Eventually(ticks, "1s", "5ms").Should(BeNumerically(">", begun))
-			k.Release(ask.Pool(), Report{ID: p.ID, Target: "a", Rule: "r", Result: Served, Took: time.Millisecond})
+			k.Release(ask.Pool(), Report{ID: p.ID, Target: "a", Rule: "r", Result: ResultServed, Took: time.Millisecond})
 			time.Sleep(2 * serveInterval)
 			idle := ticks()
 			time.Sleep(5 * serveInterval)
--- a/coordination/permit/pool.go
+++ b/coordination/permit/pool.go
@@ -298,19 +298,19 @@
 		t.recordStated(r.Slowness, now)
 	}
 	switch r.Result {
-	case Served:
+	case ResultServed:
 		t.failureRate *= 1 - smoothing
 		p.recordDuration(t, g.rule, r, now)
-	case Failed, Shed:
+	case ResultFailed, ResultNotExecuted:
 		t.failureRate = t.failureRate*(1-smoothing) + smoothing
 		if t.failureRate > maxFailureRate && p.mayEject(now) {
 			t.ejectedUntil = now.Add(ejectionTime)
 		}
-	case Unreachable:
+	case ResultUnreachable:
 		if p.mayEject(now) {
 			t.ejectedUntil = now.Add(ejectionTime)
 		}
-	case Dropped:
+	case ResultDropped:
 	}
 }
 
@@ -352,7 +352,7 @@
 func (p *pool) reclaimExpired(now clock.Instant) {
 	for id, g := range p.granted {
 		if now >= g.deadline.Add(reclaimDelay) {
-			p.report(Report{ID: id, Target: g.target, Result: Dropped}, now)
+			p.report(Report{ID: id, Target: g.target, Result: ResultDropped}, now)
 		}
 	}
 }
@@ -360,5 +360,5 @@
 // abandon removes an ask whose caller has gone away, whether it is queued or has a permit.
 func (p *pool) abandon(id string, now clock.Instant) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *waiter) bool { return w.ask.ID == id })
-	p.report(Report{ID: id, Result: Dropped}, now)
+	p.report(Report{ID: id, Result: ResultDropped}, now)
 }
--- a/coordination/permit/simulation_test.go
+++ b/coordination/permit/simulation_test.go
@@ -153,7 +153,7 @@
 
 // answered ends a request at its target.
 func (r *simulationRun) answered(q *request) {
-	report := Report{ID: q.permit.ID, Target: q.permit.Target, Rule: q.traffic.rule, Result: Served, Took: q.took}
+	report := Report{ID: q.permit.ID, Target: q.permit.Target, Rule: q.traffic.rule, Result: ResultServed, Took: q.took}
 	if r.statesSlowness {
 		report.Slowness = r.slowness[q.permit.Target]
 	}
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -58,15 +58,15 @@
 // The results that a keeper learns from.
 const (
 	// Served: the target answered.
-	Served Result = "served"
+	ResultServed Result = "served"
 	// Failed: the target answered with a failure, or closed the connection early.
-	Failed Result = "failed"
+	ResultFailed Result = "failed"
 	// Shed: the target said that it did not run the request.
-	Shed Result = "shed"
+	ResultNotExecuted Result = "shed"
 	// Unreachable: no connection to the target could be made.
-	Unreachable Result = "unreachable"
+	ResultUnreachable Result = "unreachable"
 	// Dropped: the request was given up, which says nothing about the target.
-	Dropped Result = "dropped"
+	ResultDropped Result = "dropped"
 )
 
 // Report returns a permit, with the outcome of its request.
@@ -123,8 +123,8 @@
 	ColdRate float64
 }
 
-// Cold reports whether the target is limited to its cold rate now.
-func (t Target) Cold(now clock.Instant) bool { return t.ColdRate > 0 && now < t.ColdUntil }
+// IsCold reports whether the target is limited to its cold rate now.
+func (t Target) IsCold(now clock.Instant) bool { return t.ColdRate > 0 && now < t.ColdUntil }
 
 // waiter is an ask and its place in the queue.
 type waiter struct {
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -66,7 +66,7 @@
 	return quarantine.Identity{Fingerprint: 7, Caller: caller}
 }
 
-func quarantined(r *quarantine.Registry, id quarantine.Identity) bool {
+func quarantined(r *quarantine.Tracker, id quarantine.Identity) bool {
 	_, is := r.Quarantined(id)
 	return is
 }
@@ -74,11 +74,11 @@
 var _ = Describe("a registry", func() {
 	var (
 		c *wallClock
-		r *quarantine.Registry
+		r *quarantine.Tracker
 	)
 	BeforeEach(func() {
 		c = newClock()
-		r = quarantine.NewRegistry(c.Now)
+		r = quarantine.NewTracker(c.Now)
 	})
 
 	It("quarantines a request during which two targets have crashed, for its caller only", func() {
@@ -115,7 +115,7 @@
 			r.RecordCrash(requestBy(30+caller), "t3")
 		}
 		Expect(quarantined(r, requestBy(3))).To(BeTrue())
-		next := quarantine.NewRegistry(c.Now)
+		next := quarantine.NewTracker(c.Now)
 		next.Merge(r.Unreported())
 		Expect(quarantined(next, requestBy(3))).To(BeTrue())
 	})
@@ -125,25 +125,25 @@
 	It("does not quarantine a request that was answered between crashes", func() {
 		r.RecordCrash(requestBy(1), "t1")
 		c.advance(time.Second)
-		r.RecordAnswer(requestBy(1))
+		r.RecordResponse(requestBy(1))
 		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeFalse())
-		r.RecordAnswer(requestBy(3))
+		r.RecordResponse(requestBy(3))
 		Expect(r.RecordCrash(requestBy(2), "t3")).To(BeFalse())
 	})
 
 	It("does not count an answer to one caller as an answer to another", func() {
 		r.RecordCrash(requestBy(1), "t1")
-		r.RecordAnswer(requestBy(2))
+		r.RecordResponse(requestBy(2))
 		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeTrue())
 		Expect(quarantined(r, requestBy(2))).To(BeFalse())
 	})
 
 	It("treats an answer as later than a crash that was recorded by a clock that is ahead", func() {
 		ahead := &wallClock{now: c.now.Add(5 * time.Second)}
-		other := quarantine.NewRegistry(ahead.Now)
+		other := quarantine.NewTracker(ahead.Now)
 		other.RecordCrash(requestBy(1), "t1")
 		r.Merge(other.Unreported())
-		r.RecordAnswer(requestBy(1))
+		r.RecordResponse(requestBy(1))
 		ahead.advance(time.Second)
 		r.Merge(other.Unreported())
 		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeFalse())
@@ -197,12 +197,12 @@
 
 	It("keeps the answer to a caller however many other callers get answers", func() {
 		r.RecordCrash(requestBy(1), "t1")
-		r.RecordAnswer(requestBy(1))
+		r.RecordResponse(requestBy(1))
 		for caller := uint64(10); caller < 60; caller++ {
 			c.advance(time.Second)
 			r.RecordCrash(requestBy(caller), "t2")
-			r.RecordAnswer(requestBy(caller))
-			r.RecordAnswer(requestBy(caller + 100))
+			r.RecordResponse(requestBy(caller))
+			r.RecordResponse(requestBy(caller + 100))
 		}
 		Expect(r.RecordCrash(requestBy(1), "t3")).To(BeFalse())
 	})
@@ -233,7 +233,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(BeNil(), "the row is up to date")
 
-		next := quarantine.NewRegistry(c.Now)
+		next := quarantine.NewTracker(c.Now)
 		Expect(next.LoadStored(text)).To(Succeed())
 		Expect(quarantined(next, requestBy(1))).To(BeTrue())
 		Expect(next.LoadStored([]byte("{"))).NotTo(Succeed())
@@ -242,7 +242,7 @@
 })
 
 // exchange sends a follower's report to the leader and adopts the leader's table.
-func exchange(follower, leader *quarantine.Registry) {
+func exchange(follower, leader *quarantine.Tracker) {
 	report := follower.Unreported()
 	since := follower.Version()
 	leader.Merge(report)
@@ -252,9 +252,9 @@
 
 var _ = Describe("registries of several instances", func() {
 	c := newClock()
-	var a, b, d *quarantine.Registry
+	var a, b, d *quarantine.Tracker
 	BeforeEach(func() {
-		a, b, d = quarantine.NewRegistry(c.Now), quarantine.NewRegistry(c.Now), quarantine.NewRegistry(c.Now)
+		a, b, d = quarantine.NewTracker(c.Now), quarantine.NewTracker(c.Now), quarantine.NewTracker(c.Now)
 		a.StartLeading(1)
 	})
 
@@ -264,7 +264,7 @@
 		exchange(b, a)
 		exchange(d, a)
 		exchange(b, a)
-		for _, r := range []*quarantine.Registry{a, b, d} {
+		for _, r := range []*quarantine.Tracker{a, b, d} {
 			Expect(quarantined(r, requestBy(1))).To(BeTrue())
 		}
 		Expect(b.Unreported()).To(BeEmpty())
@@ -320,11 +320,11 @@
 				})
 			}
 			if rapid.Bool().Draw(t, "answered") {
-				e.Answers = []quarantine.Answer{{Caller: 1, At: c.now.UnixMilli() + rapid.Int64Range(0, 3).Draw(t, "answer")}}
+				e.Answers = []quarantine.Response{{Caller: 1, At: c.now.UnixMilli() + rapid.Int64Range(0, 3).Draw(t, "answer")}}
 			}
 			reports = append(reports, quarantine.Table{7: e})
 		}
-		first, second := quarantine.NewRegistry(c.Now), quarantine.NewRegistry(c.Now)
+		first, second := quarantine.NewTracker(c.Now), quarantine.NewTracker(c.Now)
 		for _, report := range reports {
 			first.Merge(report)
 		}
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Registry is the quarantine state of one instance. It is safe for concurrent use.
-type Registry struct {
+// Tracker is the quarantine state of one instance. It is safe for concurrent use.
+type Tracker struct {
 	now func() time.Time
 	// table is read without the lock, since every request reads it.
 	table atomic.Pointer[Table]
@@ -39,18 +39,18 @@
 	return v.Term > w.Term || v.Term == w.Term && v.Count > w.Count
 }
 
-// NewRegistry returns a registry without crashes. The function now returns the time of day.
-func NewRegistry(now func() time.Time) *Registry {
-	r := &Registry{now: now, unreported: Table{}}
+// NewTracker returns a registry without crashes. The function now returns the time of day.
+func NewTracker(now func() time.Time) *Tracker {
+	r := &Tracker{now: now, unreported: Table{}}
 	r.table.Store(&Table{})
 	return r
 }
 
 // Empty reports whether no crash is known, so that requests need not be identified.
-func (r *Registry) Empty() bool { return len(*r.table.Load()) == 0 }
+func (r *Tracker) Empty() bool { return len(*r.table.Load()) == 0 }
 
 // Quarantined reports whether a request must not reach any target, and for how much longer.
-func (r *Registry) Quarantined(id Identity) (left time.Duration, quarantined bool) {
+func (r *Tracker) Quarantined(id Identity) (left time.Duration, quarantined bool) {
 	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known || !e.quarantined(id.Caller) {
 		return 0, false
@@ -61,22 +61,22 @@
 
 // Suspected reports whether a target has crashed during a request, of any caller, since the request
 // was last answered.
-func (r *Registry) Suspected(id Identity) bool {
+func (r *Tracker) Suspected(id Identity) bool {
 	e := (*r.table.Load())[id.Fingerprint]
-	return len(e.crashesAfter(e.lastAnswerAt(func(Answer) bool { return true }))) > 0
+	return len(e.crashesAfter(e.lastAnswerAt(func(Response) bool { return true }))) > 0
 }
 
 // RecordCrash records that a target ended while it ran a request. The target's ID must identify
 // this run of the target. RecordCrash reports whether the request is quarantined now.
-func (r *Registry) RecordCrash(id Identity, target string) bool {
+func (r *Tracker) RecordCrash(id Identity, target string) bool {
 	crash := Crash{Target: xxhash.Sum64String(target), Caller: id.Caller, At: r.now().UnixMilli()}
 	r.Merge(Table{id.Fingerprint: {Crashes: []Crash{crash}}})
 	_, quarantined := r.Quarantined(id)
 	return quarantined
 }
 
-// RecordAnswer records that a target has answered a request.
-func (r *Registry) RecordAnswer(id Identity) {
+// RecordResponse records that a target has answered a request.
+func (r *Tracker) RecordResponse(id Identity) {
 	e, known := (*r.table.Load())[id.Fingerprint]
 	if !known {
 		return
@@ -85,16 +85,16 @@
 	if !slices.ContainsFunc(e.Crashes, func(c Crash) bool { return c.Caller == caller }) {
 		caller = otherCallers
 	}
-	if e.lastAnswerAt(func(a Answer) bool { return a.Caller == caller }) >= e.lastCrashAt() {
+	if e.lastAnswerAt(func(a Response) bool { return a.Caller == caller }) >= e.lastCrashAt() {
 		return
 	}
 	// The answer came after all known crashes, even if another instance's clock was ahead.
 	at := max(r.now().UnixMilli(), e.lastCrashAt())
-	r.Merge(Table{id.Fingerprint: {Answers: []Answer{{Caller: caller, At: at}}}})
+	r.Merge(Table{id.Fingerprint: {Answers: []Response{{Caller: caller, At: at}}}})
 }
 
 // Merge adds what this instance has seen, or what another one has reported to it.
-func (r *Registry) Merge(t Table) {
+func (r *Tracker) Merge(t Table) {
 	if len(t) == 0 {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // List returns the requests that are quarantined, for one caller or for all, sorted by fingerprint.
-func (r *Registry) List() []QuarantinedRequest {
+func (r *Tracker) List() []QuarantinedRequest {
 	now := r.now()
 	var list []QuarantinedRequest
 	for f, e := range *r.table.Load() {
@@ -142,15 +142,15 @@
 
 // Release ends the quarantine of a request for all callers, as if each had got an answer. It
 // reports whether the request was quarantined.
-func (r *Registry) Release(f Fingerprint) bool {
+func (r *Tracker) Release(f Fingerprint) bool {
 	e, known := (*r.table.Load())[f]
 	if !known || !e.quarantinedForAny() {
 		return false
 	}
 	at := max(r.now().UnixMilli(), e.lastCrashAt())
-	var answers []Answer
+	var answers []Response
 	for _, c := range e.Crashes {
-		answers = append(answers, Answer{Caller: c.Caller, At: at})
+		answers = append(answers, Response{Caller: c.Caller, At: at})
 	}
 	r.Merge(Table{f: {Answers: answers}})
 	return true
@@ -158,7 +158,7 @@
 
 // replace installs a new table and reports whether it differs from the previous one. The caller
 // holds the lock.
-func (r *Registry) replace(next Table) bool {
+func (r *Tracker) replace(next Table) bool {
 	if next.equal(*r.table.Load()) {
 		return false
 	}
@@ -167,7 +167,7 @@
 }
 
 // Unreported returns what the leader may not know.
-func (r *Registry) Unreported() Table {
+func (r *Tracker) Unreported() Table {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.unreported) == 0 {
@@ -178,7 +178,7 @@
 
 // MarkReported records that another instance, which forwards it to the leader, has received the
 // result of Unreported.
-func (r *Registry) MarkReported(t Table) {
+func (r *Tracker) MarkReported(t Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for f, e := range t {
@@ -189,14 +189,14 @@
 }
 
 // Version returns the version of the table that is known here.
-func (r *Registry) Version() Version {
+func (r *Tracker) Version() Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
 // UpdateSince returns the table and its version if it is newer than the given version.
-func (r *Registry) UpdateSince(since Version) (Table, Version) {
+func (r *Tracker) UpdateSince(since Version) (Table, Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.version.After(since) {
@@ -207,7 +207,7 @@
 
 // Adopt merges a table of the leader, received directly or through other instances. Entries that
 // the leader's table lacks are reported to it again: a new leader may never have received them.
-func (r *Registry) Adopt(t Table, version Version) {
+func (r *Tracker) Adopt(t Table, version Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leadingTerm != 0 || !version.After(r.version) {
@@ -222,7 +222,7 @@
 }
 
 // StartLeading makes this instance the leader, whose table is distributed to all others, in a term.
-func (r *Registry) StartLeading(term uint64) {
+func (r *Tracker) StartLeading(term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leadingTerm = term
@@ -231,14 +231,14 @@
 }
 
 // StopLeading makes this instance a follower.
-func (r *Registry) StopLeading() {
+func (r *Tracker) StopLeading() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leadingTerm = 0
 }
 
 // LoadStored merges the content of the row in the store.
-func (r *Registry) LoadStored(text []byte) error {
+func (r *Tracker) LoadStored(text []byte) error {
 	t, err := Decode(text)
 	if err != nil {
 		return err
@@ -249,7 +249,7 @@
 }
 
 // PendingWrite returns what should be written to the row in the store, or nil if it is up to date.
-func (r *Registry) PendingWrite() ([]byte, error) {
+func (r *Tracker) PendingWrite() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := *r.table.Load()
@@ -267,7 +267,7 @@
 }
 
 // MarkStored records the content of the row in the store.
-func (r *Registry) MarkStored(text []byte) {
+func (r *Tracker) MarkStored(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stored = text
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -45,8 +45,8 @@
 	At int64 `json:"at"`
 }
 
-// Answer records that a request was answered, so it does not crash every target.
-type Answer struct {
+// Response records that a request was answered, so it does not crash every target.
+type Response struct {
 	Caller uint64 `json:"caller"`
 	// At is in Unix milliseconds. It is not before any crash that was known where the answer
 	// arrived.
@@ -55,8 +55,8 @@
 
 // Entry is what is known about a request.
 type Entry struct {
-	Crashes []Crash  `json:"crashes"`
-	Answers []Answer `json:"answers,omitempty"`
+	Crashes []Crash    `json:"crashes"`
+	Answers []Response `json:"answers,omitempty"`
 }
 
 // Table is what is known about all requests. It is immutable once it is in use.
@@ -64,12 +64,12 @@
 
 // quarantined reports whether the request of a caller must not reach any target.
 func (e Entry) quarantined(caller uint64) bool {
-	own := e.crashesAfter(e.lastAnswerAt(func(a Answer) bool { return a.Caller == caller }))
+	own := e.crashesAfter(e.lastAnswerAt(func(a Response) bool { return a.Caller == caller }))
 	own = slices.DeleteFunc(own, func(c Crash) bool { return c.Caller != caller })
 	if countDistinct(own, Crash.target) >= CrashLimit {
 		return true
 	}
-	all := e.crashesAfter(e.lastAnswerAt(func(Answer) bool { return true }))
+	all := e.crashesAfter(e.lastAnswerAt(func(Response) bool { return true }))
 	return countDistinct(all, Crash.target) >= CrashLimit && countDistinct(all, Crash.caller) >= CrashLimit
 }
 
@@ -84,7 +84,7 @@
 
 // lastAnswerAt returns the time of the last answer that counts, in Unix milliseconds; 0 if there is
 // none.
-func (e Entry) lastAnswerAt(counts func(Answer) bool) int64 {
+func (e Entry) lastAnswerAt(counts func(Response) bool) int64 {
 	at := int64(0)
 	for _, a := range e.Answers {
 		if counts(a) {
@@ -120,7 +120,7 @@
 // lastEventAt returns the time of the last crash or answer, in Unix milliseconds. An answer may
 // become known before the crash that it followed.
 func (e Entry) lastEventAt() int64 {
-	return max(e.lastCrashAt(), e.lastAnswerAt(func(Answer) bool { return true }))
+	return max(e.lastCrashAt(), e.lastAnswerAt(func(Response) bool { return true }))
 }
 
 // expiresAt returns when the entry is dropped.
@@ -137,15 +137,15 @@
 // merged returns the union of two entries, within the bounds.
 func (e Entry) merged(f Entry) Entry {
 	crashes := boundCrashes(union(e.Crashes, f.Crashes, compareCrashes, func(c Crash) int64 { return c.At }))
-	answers := union(e.Answers, f.Answers, func(a, b Answer) int { return cmp.Compare(a.Caller, b.Caller) }, func(a Answer) int64 { return a.At })
+	answers := union(e.Answers, f.Answers, func(a, b Response) int { return cmp.Compare(a.Caller, b.Caller) }, func(a Response) int64 { return a.At })
 	return Entry{Crashes: crashes, Answers: boundAnswers(answers, crashes)}.sorted()
 }
 
 // boundAnswers returns, of a list sorted from latest to earliest, the answers to callers with
 // recorded crashes, which would count again without these answers, and the latest of the others.
-func boundAnswers(list []Answer, crashes []Crash) []Answer {
+func boundAnswers(list []Response, crashes []Crash) []Response {
 	remaining := maxAnswers - maxTargets - maxCallers
-	return slices.DeleteFunc(list, func(a Answer) bool {
+	return slices.DeleteFunc(list, func(a Response) bool {
 		if slices.ContainsFunc(crashes, func(c Crash) bool { return c.Caller == a.Caller }) {
 			return false
 		}
@@ -157,7 +157,7 @@
 // sorted sorts the entry's lists in place, for comparisons.
 func (e Entry) sorted() Entry {
 	slices.SortFunc(e.Crashes, compareCrashes)
-	slices.SortFunc(e.Answers, func(a, b Answer) int { return cmp.Compare(a.Caller, b.Caller) })
+	slices.SortFunc(e.Answers, func(a, b Response) int { return cmp.Compare(a.Caller, b.Caller) })
 	return e
 }
 
--- a/coordination/targetstatus/targetstatus.go
+++ b/coordination/targetstatus/targetstatus.go
@@ -35,8 +35,8 @@
 	reportValidity = 3 * time.Second
 )
 
-// Registry holds what targets have stated to one instance. It is safe for concurrent use.
-type Registry struct {
+// Tracker holds what targets have stated to one instance. It is safe for concurrent use.
+type Tracker struct {
 	clock clock.Clock
 	// drain is how long a target accepts requests after it has first stated that it is leaving.
 	drain time.Duration
@@ -63,16 +63,16 @@
 	updatedAt clock.Instant
 }
 
-// NewRegistry returns a registry without statuses. A target accepts requests for the drain time
+// NewTracker returns a registry without statuses. A target accepts requests for the drain time
 // after it has first stated that it is leaving.
-func NewRegistry(c clock.Clock, drain time.Duration) *Registry {
-	return &Registry{clock: c, drain: drain, statuses: map[string]status{}, reported: map[string]clock.Instant{}}
+func NewTracker(c clock.Clock, drain time.Duration) *Tracker {
+	return &Tracker{clock: c, drain: drain, statuses: map[string]status{}, reported: map[string]clock.Instant{}}
 }
 
 // RecordStatus records what a target has stated with an answer: whether it is leaving, and for how
 // long it accepts no requests, 0 for no pause. It reports whether the target has stated for the
 // first time that it is leaving.
-func (r *Registry) RecordStatus(target string, leaving bool, pause time.Duration) (first bool) {
+func (r *Tracker) RecordStatus(target string, leaving bool, pause time.Duration) (first bool) {
 	if !leaving && pause <= 0 {
 		return false
 	}
@@ -93,7 +93,7 @@
 }
 
 // statusOf returns the status of a target. The caller holds the lock.
-func (r *Registry) statusOf(target string) status {
+func (r *Tracker) statusOf(target string) status {
 	if s, known := r.statuses[target]; known {
 		return s
 	}
@@ -102,7 +102,7 @@
 
 // RecordLimit records how many requests a second a target accepts from all instances together, 0
 // for no limit. It returns the previous value.
-func (r *Registry) RecordLimit(target string, perSecond float64) (before float64) {
+func (r *Tracker) RecordLimit(target string, perSecond float64) (before float64) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // Limits returns the current limits that the wanted targets have stated to this instance.
-func (r *Registry) Limits(wanted func(target string) bool) []Limit {
+func (r *Tracker) Limits(wanted func(target string) bool) []Limit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -140,15 +140,15 @@
 }
 
 // Limited reports whether a target's last statement to this instance contains a limit.
-func (r *Registry) Limited(target string) bool {
+func (r *Tracker) Limited(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.statuses[target].limit > 0
 }
 
-// HasLeft reports whether a leaving target's drain time is over but for leaveMargin, so that nothing
+// DrainTimeOver reports whether a leaving target's drain time is over but for leaveMargin, so that nothing
 // may be sent to the target.
-func (r *Registry) HasLeft(target string) bool {
+func (r *Tracker) DrainTimeOver(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.statuses[target]
@@ -156,7 +156,7 @@
 }
 
 // RemainingPause returns for how much longer a target accepts no requests.
-func (r *Registry) RemainingPause(target string) time.Duration {
+func (r *Tracker) RemainingPause(target string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.statuses[target]
@@ -168,7 +168,7 @@
 
 // TargetsToAvoid returns the targets that are leaving or pausing. Nothing should be sent to them if
 // other targets can serve the request as well.
-func (r *Registry) TargetsToAvoid() []string {
+func (r *Tracker) TargetsToAvoid() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -182,7 +182,7 @@
 }
 
 // RecordReported records the targets that another instance has reported as leaving.
-func (r *Registry) RecordReported(targets []string) {
+func (r *Tracker) RecordReported(targets []string) {
 	if len(targets) == 0 {
 		return
 	}
@@ -196,7 +196,7 @@
 
 // Leaving returns the listed targets that have stated to this instance, or to instances that
 // reported it here, that they are leaving.
-func (r *Registry) Leaving(listed func(target string) bool) []string {
+func (r *Tracker) Leaving(listed func(target string) bool) []string {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +220,7 @@
 }
 
 // Prune removes old statuses of targets that are no longer listed.
-func (r *Registry) Prune(listed func(target string) bool) {
+func (r *Tracker) Prune(listed func(target string) bool) {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/coordination/targetstatus/targetstatus_test.go
+++ b/coordination/targetstatus/targetstatus_test.go
@@ -29,11 +29,11 @@
 var _ = Describe("the status that targets state", func() {
 	var (
 		c *fakeClock
-		r *targetstatus.Registry
+		r *targetstatus.Tracker
 	)
 	BeforeEach(func() {
 		c = &fakeClock{now: clock.Instant(time.Hour)}
-		r = targetstatus.NewRegistry(c, drain)
+		r = targetstatus.NewTracker(c, drain)
 	})
 	all := func(string) bool { return true }
 	none := func(string) bool { return false }
@@ -42,16 +42,16 @@
 		Expect(r.RecordStatus("t", true, 0)).To(BeTrue())
 		c.advance(time.Second)
 		Expect(r.RecordStatus("t", true, 0)).To(BeFalse())
-		Expect(r.HasLeft("t")).To(BeFalse())
+		Expect(r.DrainTimeOver("t")).To(BeFalse())
 		c.advance(drain - time.Second)
-		Expect(r.HasLeft("t")).To(BeTrue())
-		Expect(r.HasLeft("other")).To(BeFalse())
+		Expect(r.DrainTimeOver("t")).To(BeTrue())
+		Expect(r.DrainTimeOver("other")).To(BeFalse())
 	})
 
 	It("allows no requests at all to a leaving target if the drain time is zero", func() {
-		r = targetstatus.NewRegistry(c, 0)
+		r = targetstatus.NewTracker(c, 0)
 		r.RecordStatus("t", true, 0)
-		Expect(r.HasLeft("t")).To(BeTrue())
+		Expect(r.DrainTimeOver("t")).To(BeTrue())
 	})
 
 	It("keeps a target leaving when a later answer does not state it", func() {
@@ -59,7 +59,7 @@
 		r.RecordStatus("t", false, 0)
 		r.RecordStatus("t", false, time.Second)
 		c.advance(drain)
-		Expect(r.HasLeft("t")).To(BeTrue())
+		Expect(r.DrainTimeOver("t")).To(BeTrue())
 	})
 
 	It("uses the pause that ends last", func() {
@@ -71,25 +71,25 @@
 		c.advance(2 * time.Second)
 		Expect(r.RemainingPause("t")).To(BeZero())
 		Expect(r.TargetsToAvoid()).To(BeEmpty())
-		Expect(r.HasLeft("t")).To(BeFalse())
+		Expect(r.DrainTimeOver("t")).To(BeFalse())
 	})
 
 	It("is retained while a target is not listed, but not forever", func() {
 		r.RecordStatus("t", true, 0)
 		c.advance(time.Minute)
 		r.Prune(none)
-		Expect(r.HasLeft("t")).To(BeTrue())
+		Expect(r.DrainTimeOver("t")).To(BeTrue())
 		c.advance(time.Hour)
 		r.Prune(all)
-		Expect(r.HasLeft("t")).To(BeTrue())
+		Expect(r.DrainTimeOver("t")).To(BeTrue())
 		r.Prune(none)
-		Expect(r.HasLeft("t")).To(BeFalse())
+		Expect(r.DrainTimeOver("t")).To(BeFalse())
 	})
 
 	It("binds only the instance that received it; others learn which targets are leaving", func() {
 		r.RecordReported([]string{"t"})
 		c.advance(drain)
-		Expect(r.HasLeft("t")).To(BeFalse())
+		Expect(r.DrainTimeOver("t")).To(BeFalse())
 		Expect(r.TargetsToAvoid()).To(BeEmpty())
 		Expect(r.Leaving(all)).To(ConsistOf("t"))
 		Expect(r.Leaving(none)).To(BeEmpty())
--- a/instance/broker.go
+++ b/instance/broker.go
@@ -127,7 +127,7 @@
 func (b *broker) fallbackTargets(id permit.PoolID) []permit.Target {
 	instances := len(b.board.Snapshot().Instances)
 	now := b.clock.Now()
-	list := slices.DeleteFunc(slices.Clone(b.poolTargets(id)), func(s permit.Target) bool { return s.Cold(now) || b.hasLimit(s.ID) })
+	list := slices.DeleteFunc(slices.Clone(b.poolTargets(id)), func(s permit.Target) bool { return s.IsCold(now) || b.hasLimit(s.ID) })
 	for i := range list {
 		if instances == 0 {
 			list[i].Slots = 1
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -72,8 +72,8 @@
 	board        *view.Board
 	broker       *broker
 	pool         *upstream.Pool
-	targetStatus *targetstatus.Registry
-	quarantine   *quarantine.Registry
+	targetStatus *targetstatus.Tracker
+	quarantine   *quarantine.Tracker
 	handler      *front.Handler
 	coordinator  *lead.Coordinator
 	peerClient   *peers.Client
@@ -151,8 +151,8 @@
 	i.board = view.NewBoard(i.clock)
 	i.pool = upstream.NewPool()
 	collector := demand.NewCollector()
-	i.quarantine = quarantine.NewRegistry(time.Now)
-	i.targetStatus = targetstatus.NewRegistry(i.clock, time.Duration(i.settings.Drain))
+	i.quarantine = quarantine.NewTracker(time.Now)
+	i.targetStatus = targetstatus.NewTracker(i.clock, time.Duration(i.settings.Drain))
 	i.broker = newBroker(i.self, i.clock, i.board, i.peerClient, i.targetStatus.Limited, i.log.Event)
 	i.budget = front.NewRetryBudget(i.clock, front.RetryBudgetConfig{
 		Ratio: i.settings.Retries.Ratio, Slack: i.settings.Retries.Slack, Window: time.Duration(i.settings.Retries.Window),
--- a/transport/front/attempt.go
+++ b/transport/front/attempt.go
@@ -21,7 +21,7 @@
 	t, known := c.h.board.Snapshot().Targets[p.Target]
 	if !known || !c.maySendTo(t) {
 		// The target's state may have changed while the request waited for the permit.
-		c.h.permits.Release(c.permitReport(p, permit.Dropped, 0))
+		c.h.permits.Release(c.permitReport(p, permit.ResultDropped, 0))
 		c.attempts++
 		if !c.keyed || !known {
 			c.awaitUpdate(wait, recheckWait)
@@ -30,7 +30,7 @@
 	}
 	if res, ok := c.checkQuarantine(); !ok {
 		// The request was quarantined while it waited: other instances saw it crash targets.
-		c.h.permits.Release(c.permitReport(p, permit.Dropped, 0))
+		c.h.permits.Release(c.permitReport(p, permit.ResultDropped, 0))
 		return res, false
 	}
 	c.attempts++
@@ -49,7 +49,7 @@
 	report.Heard, report.Limit = status.Known, status.Limit
 	c.h.permits.Release(report)
 	if err == nil && resp.Status < http.StatusInternalServerError {
-		c.h.collector.RecordAnswer(t.ID, c.decision.Rule.Name, demand.Answer{Took: took, Size: len(resp.Body), Slowness: status.Slowness, Limit: status.Limit})
+		c.h.collector.RecordResponse(t.ID, c.decision.Rule.Name, demand.Response{Took: took, Size: len(resp.Body), Slowness: status.Slowness, Limit: status.Limit})
 	}
 	return c.afterAttempt(ctx, wait, resp, err)
 }
@@ -62,17 +62,17 @@
 func permitResult(ctx context.Context, resp *upstream.Response, err error) permit.Result {
 	switch {
 	case err == nil && resp.Status >= http.StatusInternalServerError:
-		return permit.Failed
+		return permit.ResultFailed
 	case err == nil:
-		return permit.Served
+		return permit.ResultServed
 	case errors.Is(err, upstream.ErrNotExecuted):
-		return permit.Shed
+		return permit.ResultNotExecuted
 	case errors.Is(err, upstream.ErrNotSent) && ctx.Err() == nil:
-		return permit.Unreachable
+		return permit.ResultUnreachable
 	case ctx.Err() != nil:
-		return permit.Dropped
+		return permit.ResultDropped
 	}
-	return permit.Failed
+	return permit.ResultFailed
 }
 
 func (c *call) upstreamTarget(t view.Target) upstream.Target {
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -273,7 +273,7 @@
 		AimLeft:   time.Duration(c.action.Aim) - c.elapsed - time.Since(c.start),
 		Left:      time.Until(c.deadline),
 		Returning: c.returning, DataCentre: c.h.config.DataCentre,
-		Abroad: permit.CrossDataCentreCost(c.h.collector.MeanAnswerSize(c.decision.Rule.Name)),
+		Abroad: permit.CrossDataCentreCost(c.h.collector.MeanResponseSize(c.decision.Rule.Name)),
 	}
 	if target == "" {
 		ask.Exclude = c.targetsToAvoid()
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -167,7 +167,7 @@
 	f.board.SetInstances(view.InstancesVersion{Term: 1, Count: 1}, []view.Instance{{ID: "i"}})
 	f.setOwner("k1", "", false)
 	budget := NewRetryBudget(clock.System{}, RetryBudgetConfig{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewRegistry(f.statusClock, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
+	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewTracker(f.statusClock, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
 		func(event string, fields ...any) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -238,8 +238,8 @@
 		f.up.script = script{shed, respondOK}
 		f.do("POST", "/k/a")
 		Expect(f.permits.reports).To(HaveLen(2))
-		Expect(f.permits.reports[0].Result).To(Equal(permit.Shed))
-		Expect(f.permits.reports[1].Result).To(Equal(permit.Served))
+		Expect(f.permits.reports[0].Result).To(Equal(permit.ResultNotExecuted))
+		Expect(f.permits.reports[1].Result).To(Equal(permit.ResultServed))
 	})
 })
 
--- a/transport/front/handler.go
+++ b/transport/front/handler.go
@@ -42,10 +42,10 @@
 	MaxBody int64
 	// Quarantine holds the requests that must not be sent to any target. If it is nil, the handler
 	// uses a registry of its own, which knows only the crashes that it sees itself.
-	Quarantine *quarantine.Registry
+	Quarantine *quarantine.Tracker
 	// TargetStatus holds what targets have reported about themselves. If it is nil, the handler
 	// uses a registry of its own.
-	TargetStatus *targetstatus.Registry
+	TargetStatus *targetstatus.Tracker
 }
 
 // Handler is the HTTP handler for callers.
@@ -75,10 +75,10 @@
 // are unique across instances.
 func NewHandler(config Config, c clock.Clock, instance string, board *view.Board, up Upstream, permits Permits, collector *demand.Collector, budget *RetryBudget, log Log) *Handler {
 	if config.Quarantine == nil {
-		config.Quarantine = quarantine.NewRegistry(time.Now)
+		config.Quarantine = quarantine.NewTracker(time.Now)
 	}
 	if config.TargetStatus == nil {
-		config.TargetStatus = targetstatus.NewRegistry(c, 0)
+		config.TargetStatus = targetstatus.NewTracker(c, 0)
 	}
 	h := &Handler{
 		config: config, clock: c, board: board, upstream: up, permits: permits, collector: collector,
--- a/transport/front/quarantine.go
+++ b/transport/front/quarantine.go
@@ -58,7 +58,7 @@
 	registry := c.h.config.Quarantine
 	if res.response != nil {
 		if !registry.Empty() {
-			registry.RecordAnswer(c.identify())
+			registry.RecordResponse(c.identify())
 		}
 		return
 	}
--- a/transport/front/targetstatus.go
+++ b/transport/front/targetstatus.go
@@ -71,7 +71,7 @@
 // it. The registry, the operators and the target's own responses can say that it is leaving. While
 // the store is unavailable, only the target's responses tell.
 func (c *call) isExcluded(t view.Target) bool {
-	return c.h.board.Snapshot().Excluded(t, c.h.clock.Now()) || c.h.config.TargetStatus.HasLeft(t.ID)
+	return c.h.board.Snapshot().Excluded(t, c.h.clock.Now()) || c.h.config.TargetStatus.DrainTimeOver(t.ID)
 }
 
 // awaitPause waits for the end of a short pause that the key's owner has asked for. If the pause is
--- a/transport/front/targetstatus_test.go
+++ b/transport/front/targetstatus_test.go
@@ -142,7 +142,7 @@
 		f.permits.beforeGrant = func() { f.h.config.TargetStatus.RecordStatus("k1", false, 3*time.Second) }
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 		Expect(f.up.requests).To(BeEmpty())
-		Expect(f.permits.reports[0].Result).To(Equal(permit.Dropped))
+		Expect(f.permits.reports[0].Result).To(Equal(permit.ResultDropped))
 	})
 
 	It("gets no requests without a key", func() {
