--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -22,15 +22,15 @@
 // names and values. It does not block.
 type Log func(event string, fields ...any)
 
-// Peers calls other instances.
-type Peers interface {
+// PeerClient calls other instances.
+type PeerClient interface {
 	Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error)
 }
 
-// Orders sends orders to targets.
-type Orders interface {
+// OrderSender sends orders to targets.
+type OrderSender interface {
 	Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant)
-	RetainTargets(keep func(target string) bool)
+	CloseIdleExcept(keep func(target string) bool)
 }
 
 // Config holds the settings and collaborators of a Coordinator.
@@ -67,8 +67,8 @@
 	clock      clock.Clock
 	store      store.Store
 	board      *view.Board
-	peers      Peers
-	orders     Orders
+	peers      PeerClient
+	orders     OrderSender
 	collector  *demand.Collector
 	aggregator *demand.Aggregator
 	log        Log
@@ -142,7 +142,7 @@
 }
 
 // New returns a coordinator. It does nothing until Run is called.
-func New(config Config, c clock.Clock, s store.Store, board *view.Board, peers Peers, orders Orders, collector *demand.Collector, log Log) *Coordinator {
+func New(config Config, c clock.Clock, s store.Store, board *view.Board, peers PeerClient, orders OrderSender, collector *demand.Collector, log Log) *Coordinator {
 	if config.Quarantine == nil {
 		config.Quarantine = quarantine.NewTracker(time.Now)
 	}
@@ -189,8 +189,8 @@
 	running.Wait()
 }
 
-// Leave ends this instance's leadership and announces to the others that it takes no duties.
-func (c *Coordinator) Leave(ctx context.Context) {
+// PrepareShutdown ends this instance's leadership and announces to the others that it takes no duties.
+func (c *Coordinator) PrepareShutdown(ctx context.Context) {
 	c.mu.Lock()
 	c.leaving = true
 	t := c.term
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -231,7 +231,7 @@
 		m.SetLimits(limits)
 	}
 	targets := t.c.board.Snapshot().Targets
-	t.c.orders.RetainTargets(func(id string) bool { _, ok := targets[id]; return ok })
+	t.c.orders.CloseIdleExcept(func(id string) bool { _, ok := targets[id]; return ok })
 }
 
 // sendOrder sends an order outside the loop, and passes the outcome to the loop.
--- a/coordination/lead/vacate_test.go
+++ b/coordination/lead/vacate_test.go
@@ -39,7 +39,7 @@
 func (noOrders) Do(context.Context, assign.Order) (assign.Outcome, string, clock.Instant) {
 	return assign.OutcomeNotSent, "", clock.Never
 }
-func (noOrders) RetainTargets(func(string) bool) {}
+func (noOrders) CloseIdleExcept(func(string) bool) {}
 
 var _ = Describe("a leader that the store does not answer", func() {
 	const held = 3
@@ -159,7 +159,7 @@
 		t.retryAt = c.clock.Now().Add(time.Hour)
 		go t.run(context.Background())
 		time.Sleep(100 * time.Millisecond)
-		c.Leave(context.Background())
+		c.PrepareShutdown(context.Background())
 		orders.mu.Lock()
 		defer orders.mu.Unlock()
 		return orders.longest
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -276,7 +276,7 @@
 	defer cancel()
 	defer time.AfterFunc(grace-refuseWaitingReserve, i.handler.RefuseWaiting).Stop()
 	defer time.AfterFunc(grace-abortRunningReserve, i.handler.AbortRunning).Stop()
-	i.coordinator.Leave(ctx)
+	i.coordinator.PrepareShutdown(ctx)
 	rotated := time.NewTimer(balancerRemovalTime)
 	defer rotated.Stop()
 	select {
--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -350,8 +350,8 @@
 	t.idle = append(t.idle, cn)
 }
 
-// RetainTargets closes the idle connections to all targets that are not listed.
-func (c *Client) RetainTargets(listed func(target string) bool) {
+// CloseIdleExcept closes the idle connections to all targets that are not listed.
+func (c *Client) CloseIdleExcept(listed func(target string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for target, t := range c.targets {
