--- a/cmd/lycheehall/operate.go
+++ b/cmd/lycheehall/operate.go
@@ -44,11 +44,11 @@
 	if o.json {
 		return printJSON(s)
 	}
-	fmt.Printf("as seen by %s: leader %s, term %d, rules %d, known %d ms ago\n", s.Instance, s.Leader, s.Term, s.Rules, s.KnownMs)
+	fmt.Printf("as seen by %s: leader %s, term %d, rules %d, known %d ms ago\n", s.Instance, s.Leader, s.Term, s.RulesVersion, s.DataAgeMs)
 	for _, dataCentre := range s.Evacuated {
 		fmt.Printf("evacuated, its targets get no requests: %s\n", dataCentre)
 	}
-	for _, note := range s.NotUnderstood {
+	for _, note := range s.RuleMistakes {
 		fmt.Printf("rule not understood, its requests are refused: %s\n", note)
 	}
 	for _, i := range s.Instances {
@@ -56,7 +56,7 @@
 			fmt.Printf("instance %-32s no answer\n", i.ID)
 			continue
 		}
-		fmt.Printf("instance %-32s %-12s rules %d, known %d ms ago\n", i.ID, i.DataCentre, i.Rules, i.KnownMs)
+		fmt.Printf("instance %-32s %-12s rules %d, known %d ms ago\n", i.ID, i.DataCentre, i.RulesVersion, i.DataAgeMs)
 	}
 	for _, service := range s.Services {
 		printService(service)
@@ -74,7 +74,7 @@
 	if len(s.Ranges) == 0 {
 		fmt.Printf("service %s: not keyed\n", s.Name)
 	} else {
-		fmt.Printf("service %s: map %d, %d ranges, %d moving\n", s.Name, s.Map, len(s.Ranges), moving)
+		fmt.Printf("service %s: map %d, %d ranges, %d moving\n", s.Name, s.MapVersion, len(s.Ranges), moving)
 	}
 	for _, t := range s.Targets {
 		text := ""
@@ -111,8 +111,8 @@
 			fmt.Printf(", %s %q", part.name, part.value)
 		}
 	}
-	if e.Number >= 0 {
-		fmt.Printf(", number %d, fence %d", e.Number, e.Fence)
+	if e.KeyNumber >= 0 {
+		fmt.Printf(", number %d, fence %d", e.KeyNumber, e.Fence)
 	}
 	if e.Detail != "" {
 		fmt.Printf(": %s", e.Detail)
@@ -131,7 +131,7 @@
 }
 
 func printEvents(c *client, o *options, path string) error {
-	var reply admin.TimelineReply
+	var reply admin.TimelineResponse
 	if err := c.get(path, &reply); err != nil {
 		return err
 	}
--- a/cmd/lycheehall/rules.go
+++ b/cmd/lycheehall/rules.go
@@ -116,7 +116,7 @@
 // rolloutProgress returns a line of progress and the instances that have an older version.
 func rolloutProgress(s admin.Status, version uint64) (progress string, behind []string) {
 	for _, i := range s.Instances {
-		if i.Rules < version {
+		if i.RulesVersion < version {
 			behind = append(behind, i.ID)
 		}
 	}
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -143,7 +143,7 @@
 		r.log("rules-refused", "error", err.Error(), "row", row.Version)
 		return
 	}
-	set = set.ReuseFrom(r.board.Snapshot().Rules)
+	set = set.ShareRulesWith(r.board.Snapshot().Rules)
 	adopted := r.board.SetRules(version, set, at)
 	recordRules(r.log, learntRules{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
 }
--- a/instance/adminbackend.go
+++ b/instance/adminbackend.go
@@ -114,7 +114,7 @@
 	leader := o.coordinator.Leader()
 	status := admin.Status{
 		Instance: o.self.ID, Leader: leader.Holder, Term: leader.Term, Leading: o.coordinator.Leading(),
-		KnownMs: o.clock.Now().Sub(o.board.CurrentAsOf()).Milliseconds(), Rules: s.RulesVersion, Evacuated: s.Evacuations.List(),
+		DataAgeMs: o.clock.Now().Sub(o.board.CurrentAsOf()).Milliseconds(), RulesVersion: s.RulesVersion, Evacuated: s.Evacuations.List(),
 	}
 	found, missing := o.describeAll(ctx, &peerapi.DescribeArgs{})
 	for _, d := range found {
@@ -128,7 +128,7 @@
 		return status
 	}
 	for _, note := range s.Rules.Warnings() {
-		status.NotUnderstood = append(status.NotUnderstood, note.String())
+		status.RuleMistakes = append(status.RuleMistakes, note.String())
 	}
 	for _, service := range s.Rules.Services() {
 		status.Services = append(status.Services, o.serviceStatus(service.Name))
@@ -151,7 +151,7 @@
 	out := admin.ServiceStatus{Name: name}
 	keys := map[string]int{}
 	if m := s.Maps[name]; m != nil {
-		out.Map = m.Version
+		out.MapVersion = m.Version
 		out.Ranges = m.Ranges
 		for _, r := range m.Ranges {
 			keys[r.Owner] += r.Keys()
@@ -162,7 +162,7 @@
 		if s.ColdRate(name) > 0 {
 			cold = max(0, s.ColdUntil(t).Sub(o.clock.Now()))
 		}
-		out.Targets = append(out.Targets, admin.TargetStatus{
+		out.Targets = append(out.Targets, admin.TargetSummary{
 			ID: t.ID, Address: t.Address, DataCentre: t.DataCentre, Keys: keys[t.ID], Draining: t.Draining, ColdMs: cold.Milliseconds(),
 		})
 	}
@@ -171,7 +171,7 @@
 
 // Explain implements admin.Backend.
 func (o adminBackend) Explain(req admin.ExplainRequest) admin.Explanation {
-	e := admin.Explanation{Number: -1}
+	e := admin.Explanation{KeyNumber: -1}
 	s := o.board.Snapshot()
 	if s.Rules == nil {
 		e.Outcome, e.Detail = "refused", "no rules are known yet"
@@ -217,7 +217,7 @@
 		e.Outcome, e.Detail = "refused", "the request must have exactly one key"
 		return
 	}
-	e.Number = int(number)
+	e.KeyNumber = int(number)
 	m := s.Maps[e.Service]
 	if m == nil {
 		e.Outcome, e.Detail = "refused", "no target owns the key yet"
@@ -270,8 +270,8 @@
 	return version, err
 }
 
-// Evacuate implements admin.Backend.
-func (o adminBackend) Evacuate(ctx context.Context, dataCentre string, inForce bool) error {
+// SetEvacuated implements admin.Backend.
+func (o adminBackend) SetEvacuated(ctx context.Context, dataCentre string, inForce bool) error {
 	if !o.platform.OwnRules {
 		return errRulesOfPlatform
 	}
--- a/instance/config_test.go
+++ b/instance/config_test.go
@@ -67,7 +67,7 @@
 	var status admin.Status
 	Expect(json.Unmarshal([]byte(text), &status)).To(Succeed())
 	for _, i := range status.Instances {
-		versions = append(versions, i.Rules)
+		versions = append(versions, i.RulesVersion)
 	}
 	return versions
 }
--- a/protocol/rules/changes.go
+++ b/protocol/rules/changes.go
@@ -71,9 +71,9 @@
 	return d.Sum64()
 }
 
-// ReuseFrom returns a set equal to this one that shares unchanged rules with previous, so that
+// ShareRulesWith returns a set equal to this one that shares unchanged rules with previous, so that
 // several versions in memory only take additional space for the rules that differ.
-func (s *Set) ReuseFrom(previous *Set) *Set {
+func (s *Set) ShareRulesWith(previous *Set) *Set {
 	shared, err := s.ChangesFrom(previous).Apply(previous)
 	if err != nil {
 		// Unreachable: the changes were computed from previous.
--- a/protocol/wire/names.go
+++ b/protocol/wire/names.go
@@ -24,8 +24,8 @@
 	Key string
 	// ReadyPath is the path of the load balancer's health check.
 	ReadyPath string
-	// AnsweredBy names the target that has produced the answer.
-	AnsweredBy string
+	// RespondingTarget names the target that has produced the answer.
+	RespondingTarget string
 	// HandoverRef in the answer to a release order refers to the state that the previous owner of the
 	// keys has prepared for the next one.
 	HandoverRef string
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -39,9 +39,9 @@
 	Rules(ctx context.Context) (rulestore.Record, error)
 	History(ctx context.Context) ([]rulestore.Record, error)
 	Apply(ctx context.Context, base uint64, change rulestore.Record) (uint64, error)
-	// Evacuate starts the evacuation of a data centre, whose targets then receive no requests, or ends
+	// SetEvacuated starts the evacuation of a data centre, whose targets then receive no requests, or ends
 	// it if inForce is false.
-	Evacuate(ctx context.Context, dataCentre string, inForce bool) error
+	SetEvacuated(ctx context.Context, dataCentre string, inForce bool) error
 	// Quarantine lists the requests that are sent to no target. Release removes a request from
 	// quarantine, and reports whether it was there.
 	Quarantine() []quarantine.QuarantinedRequest
@@ -55,15 +55,15 @@
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Leading bool   `json:"leading"`
-	// KnownMs is the age of the configuration and registry data in use, in milliseconds.
-	KnownMs int64 `json:"known_ms"`
-	// Rules is the version of the rules in force.
-	Rules uint64 `json:"rules"`
+	// DataAgeMs is the age of the configuration and registry data in use, in milliseconds.
+	DataAgeMs int64 `json:"known_ms"`
+	// RulesVersion is the version of the rules in force.
+	RulesVersion uint64 `json:"rules"`
 	// Evacuated lists the evacuated data centres, whose targets receive no requests.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// NotUnderstood lists the mistakes in the rules in force. Requests that match a rule with a
+	// RuleMistakes lists the mistakes in the rules in force. Requests that match a rule with a
 	// mistake are refused.
-	NotUnderstood []string `json:"not_understood,omitempty"`
+	RuleMistakes []string `json:"not_understood,omitempty"`
 	// Instances lists all known instances, including this one.
 	Instances []InstanceStatus `json:"instances"`
 	Services  []ServiceStatus  `json:"services"`
@@ -73,11 +73,11 @@
 type InstanceStatus struct {
 	ID         string `json:"id"`
 	DataCentre string `json:"data_centre"`
-	// Rules is the version of the rules, Maps the version of the map of each service.
-	Rules uint64            `json:"rules"`
-	Maps  map[string]uint64 `json:"maps"`
-	// KnownMs is the age of the configuration and registry data in use, in milliseconds.
-	KnownMs int64 `json:"known_ms"`
+	// RulesVersion is the version of the rules, Maps the version of the map of each service.
+	RulesVersion uint64            `json:"rules"`
+	MapVersions  map[string]uint64 `json:"maps"`
+	// DataAgeMs is the age of the configuration and registry data in use, in milliseconds.
+	DataAgeMs int64 `json:"known_ms"`
 	// Missing says that the instance did not answer.
 	Missing bool `json:"missing,omitempty"`
 }
@@ -85,14 +85,14 @@
 // ServiceStatus is a service with its map of key ranges and its targets.
 type ServiceStatus struct {
 	Name string `json:"name"`
-	// Map is the version of the map, Ranges its content.
-	Map     uint64           `json:"map"`
-	Ranges  []keyrange.Range `json:"ranges,omitempty"`
-	Targets []TargetStatus   `json:"targets"`
+	// MapVersion is the version of the map, Ranges its content.
+	MapVersion uint64           `json:"map"`
+	Ranges     []keyrange.Range `json:"ranges,omitempty"`
+	Targets    []TargetSummary  `json:"targets"`
 }
 
-// TargetStatus is a target with the number of keys that it owns.
-type TargetStatus struct {
+// TargetSummary is a target with the number of keys that it owns.
+type TargetSummary struct {
 	ID         string `json:"id"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
@@ -133,11 +133,11 @@
 	Rule    string `json:"rule,omitempty"`
 	Service string `json:"service,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Number is the key number, or -1 without a key.
-	Number int    `json:"number"`
-	Fence  uint64 `json:"fence,omitempty"`
-	Target string `json:"target,omitempty"`
-	Detail string `json:"detail,omitempty"`
+	// KeyNumber is the key number, or -1 without a key.
+	KeyNumber int    `json:"number"`
+	Fence     uint64 `json:"fence,omitempty"`
+	Target    string `json:"target,omitempty"`
+	Detail    string `json:"detail,omitempty"`
 }
 
 // Result is the response to a change, and to any request that fails.
@@ -167,8 +167,8 @@
 	Fingerprint string `json:"fingerprint"`
 }
 
-// TimelineReply is a merged timeline.
-type TimelineReply struct {
+// TimelineResponse is a merged timeline.
+type TimelineResponse struct {
 	Events []timeline.Event `json:"events"`
 	// Missing lists the instances that did not answer.
 	Missing []string `json:"missing,omitempty"`
@@ -267,7 +267,7 @@
 
 func (h *handler) timeline(w http.ResponseWriter, r *http.Request) {
 	events, missing := h.backend.Timeline(r.Context(), r.URL.Query().Get("request"))
-	writeJSON(w, http.StatusOK, TimelineReply{Events: events, Missing: missing})
+	writeJSON(w, http.StatusOK, TimelineResponse{Events: events, Missing: missing})
 }
 
 func (h *handler) rules(w http.ResponseWriter, r *http.Request) {
@@ -310,7 +310,7 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	if err := h.backend.Evacuate(r.Context(), req.DataCentre, !req.End); err != nil {
+	if err := h.backend.SetEvacuated(r.Context(), req.DataCentre, !req.End); err != nil {
 		writeError(w, 0, err)
 		return
 	}
@@ -358,5 +358,5 @@
 
 // InstanceStatusOf converts an instance's description of its state.
 func InstanceStatusOf(d *peerapi.Description) InstanceStatus {
-	return InstanceStatus{ID: d.Instance.ID, DataCentre: d.Instance.DataCentre, Rules: d.RulesVersion, Maps: d.Maps, KnownMs: d.Known.Milliseconds()}
+	return InstanceStatus{ID: d.Instance.ID, DataCentre: d.Instance.DataCentre, RulesVersion: d.RulesVersion, MapVersions: d.Maps, DataAgeMs: d.Known.Milliseconds()}
 }
--- a/transport/front/attempt.go
+++ b/transport/front/attempt.go
@@ -46,7 +46,7 @@
 	}
 	report := c.permitReport(p, permitResult(ctx, resp, err), took)
 	report.Slowness = status.Slowness
-	report.Heard, report.Limit = status.Known, status.Limit
+	report.Heard, report.Limit = status.FromTarget, status.Limit
 	c.h.permits.Release(report)
 	if err == nil && resp.Status < http.StatusInternalServerError {
 		c.h.collector.RecordResponse(t.ID, c.decision.Rule.Name, demand.Response{Took: took, Size: len(resp.Body), Slowness: status.Slowness, Limit: status.Limit})
--- a/transport/front/targetstatus.go
+++ b/transport/front/targetstatus.go
@@ -16,7 +16,7 @@
 const noReassignAfter = 1500 * time.Millisecond
 
 // statusOf returns what the target reported about itself in an attempt.
-func statusOf(resp *upstream.Response, err error) upstream.TargetStatus {
+func statusOf(resp *upstream.Response, err error) upstream.ReportedStatus {
 	var refused *upstream.NotExecutedError
 	switch {
 	case err == nil:
@@ -24,15 +24,15 @@
 	case errors.As(err, &refused):
 		return refused.TargetStatus
 	}
-	return upstream.TargetStatus{}
+	return upstream.ReportedStatus{}
 }
 
 // recordTargetStatus records and logs what the target reported about itself.
-func (c *call) recordTargetStatus(t view.Target, status upstream.TargetStatus) {
+func (c *call) recordTargetStatus(t view.Target, status upstream.ReportedStatus) {
 	if c.h.config.TargetStatus.RecordStatus(t.ID, status.Leaving, status.Pause) {
 		c.h.log("target-leaves", "target", t.ID, "service", c.service.Name, "request", c.id, "listed_as_draining", t.Draining)
 	}
-	if status.Known {
+	if status.FromTarget {
 		c.recordTargetLimit(t, status.Limit)
 	}
 	if status.Pause > 0 {
--- a/transport/front/targetstatus_test.go
+++ b/transport/front/targetstatus_test.go
@@ -15,7 +15,7 @@
 )
 
 // respondWithStatus is an attempt that is answered with the given target status.
-func respondWithStatus(status upstream.TargetStatus) func(context.Context) (*upstream.Response, error) {
+func respondWithStatus(status upstream.ReportedStatus) func(context.Context) (*upstream.Response, error) {
 	return func(context.Context) (*upstream.Response, error) {
 		return &upstream.Response{Status: 200, Header: http.Header{"Signed": {"yes"}}, Body: []byte("whole"), TargetStatus: status}, nil
 	}
@@ -23,7 +23,7 @@
 
 // refuseWithPause is an attempt that the target refuses, asking for a pause.
 func refuseWithPause(d time.Duration) func(context.Context) (*upstream.Response, error) {
-	return failWith(&upstream.NotExecutedError{Status: 503, TargetStatus: upstream.TargetStatus{Pause: d}})
+	return failWith(&upstream.NotExecutedError{Status: 503, TargetStatus: upstream.ReportedStatus{Pause: d}})
 }
 
 // advance moves the clock of the target status registry forward.
@@ -35,7 +35,7 @@
 
 	It("gets requests for its keys until its drain time is over, and none after that", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
 		f.advance(drainTime)
@@ -45,7 +45,7 @@
 
 	It("gets none that waited for a slot until after its drain time", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("POST", "/k/a")
 		f.permits.beforeGrant = func() { f.advance(drainTime) }
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
@@ -54,7 +54,7 @@
 
 	It("gets none again that it has refused before", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true}), shed}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true}), shed}
 		f.do("POST", "/k/a")
 		f.permits.beforeGrant = func() {
 			if len(f.up.requests) == 2 {
@@ -67,7 +67,7 @@
 
 	It("is excluded from requests without a key from then on", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("GET", "/p")
 		f.do("GET", "/p")
 		Expect(f.permits.asks[1].Exclude).To(ContainElement("p1"))
@@ -75,7 +75,7 @@
 
 	It("gets none without a key after its drain time, even with a permit", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("GET", "/p")
 		f.advance(drainTime)
 		Expect(f.do("GET", "/p").Code).To(Equal(503))
@@ -84,7 +84,7 @@
 
 	It("is remembered when the registry has lost its entry", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("POST", "/k/a")
 		f.h.config.TargetStatus.Prune(func(string) bool { return false })
 		f.advance(drainTime)
@@ -93,7 +93,7 @@
 
 	It("is reported to the leader", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("POST", "/k/a")
 		Expect(f.h.config.TargetStatus.Leaving(func(string) bool { return true })).To(ConsistOf("k1"))
 	})
@@ -102,7 +102,7 @@
 	// useless.
 	It("has requests for its keys refused at once when the snapshot is stale", func() {
 		f := newFixture()
-		f.up.script = script{respondWithStatus(upstream.TargetStatus{Leaving: true})}
+		f.up.script = script{respondWithStatus(upstream.ReportedStatus{Leaving: true})}
 		f.do("POST", "/k/a")
 		f.advance(drainTime)
 		time.Sleep(noReassignAfter)
@@ -190,8 +190,8 @@
 })
 
 var _ = Describe("a target that names a limit for all instances together", func() {
-	limit := respondWithStatus(upstream.TargetStatus{Known: true, Limit: 1.5})
-	none := respondWithStatus(upstream.TargetStatus{Known: true})
+	limit := respondWithStatus(upstream.ReportedStatus{FromTarget: true, Limit: 1.5})
+	none := respondWithStatus(upstream.ReportedStatus{FromTarget: true})
 
 	DescribeTable("has it reported to the keeper of its slots, with each response and each permit request until it names none", func(method, path, target string) {
 		f := newFixture()
@@ -212,7 +212,7 @@
 
 	It("has it reported with a refusal too, and with the next attempt", func() {
 		f := newFixture()
-		f.up.script = script{failWith(&upstream.NotExecutedError{Status: 503, TargetStatus: upstream.TargetStatus{Known: true, Limit: 1.5}})}
+		f.up.script = script{failWith(&upstream.NotExecutedError{Status: 503, TargetStatus: upstream.ReportedStatus{FromTarget: true, Limit: 1.5}})}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
 		Expect(f.permits.reports[0].Limit).To(Equal(1.5))
 		Expect(f.permits.asks[1].Limits).To(HaveLen(1))
--- a/transport/peers/client.go
+++ b/transport/peers/client.go
@@ -17,8 +17,8 @@
 // ServiceName is the net/rpc service name that instances register.
 const ServiceName = "Peer"
 
-// ErrNoAnswer reports that the peer did not answer. It may or may not have received the call.
-var ErrNoAnswer = errors.New("peers: no answer")
+// ErrNoReply reports that the peer did not answer. It may or may not have received the call.
+var ErrNoReply = errors.New("peers: no answer")
 
 const (
 	// dialTimeout limits how long connecting may take. The data centres of a region are only a few
@@ -107,7 +107,7 @@
 	}
 	if err != nil {
 		p.failedAt = time.Now()
-		p.lastErr = fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		p.lastErr = fmt.Errorf("%w: %w", ErrNoReply, err)
 		return nil, p.lastErr
 	}
 	p.mu.Lock()
@@ -201,7 +201,7 @@
 		if !errors.As(call.Error, &serverErr) {
 			p.drop(s.client)
 		}
-		return fmt.Errorf("%w: %w", ErrNoAnswer, call.Error)
+		return fmt.Errorf("%w: %w", ErrNoReply, call.Error)
 	case <-ctx.Done():
 		return p.contextError(ctx, s.client)
 	}
@@ -213,7 +213,7 @@
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		p.drop(client)
 	}
-	return fmt.Errorf("%w: %w", ErrNoAnswer, ctx.Err())
+	return fmt.Errorf("%w: %w", ErrNoReply, ctx.Err())
 }
 
 // Sync sends a report to an instance and returns its reply.
--- a/transport/peers/peers_test.go
+++ b/transport/peers/peers_test.go
@@ -72,7 +72,7 @@
 
 	// Guards against a server that accepts calls from any process that can reach its port.
 	It("is refused without the secret", func() {
-		Expect(ping(Security{Secret: "wrong"}, startServer(Security{Secret: "secret"}))).To(MatchError(ErrNoAnswer))
+		Expect(ping(Security{Secret: "wrong"}, startServer(Security{Secret: "secret"}))).To(MatchError(ErrNoReply))
 	})
 
 	// Guards against a crash when an unrelated client sends data that is not a handshake.
@@ -95,7 +95,7 @@
 		time.AfterFunc(10*time.Millisecond, cancel)
 		c := NewClient(Security{})
 		defer c.Close()
-		Expect(c.Ping(ctx, l.Addr().String())).To(MatchError(ErrNoAnswer))
+		Expect(c.Ping(ctx, l.Addr().String())).To(MatchError(ErrNoReply))
 	})
 
 	// Guards against answers that reach callers 0.3 s late, after their deadline. The keeper of a
@@ -130,7 +130,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
 		begun := time.Now()
-		Expect(c.Ping(ctx, "gone")).To(MatchError(ErrNoAnswer))
+		Expect(c.Ping(ctx, "gone")).To(MatchError(ErrNoReply))
 		Expect(time.Since(begun)).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
@@ -161,7 +161,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := c.Acquire(ctx, address, &peerapi.AcquireArgs{})
-		Expect(err).To(MatchError(ErrNoAnswer))
+		Expect(err).To(MatchError(ErrNoReply))
 		Expect(c.peer(address).current()).To(BeNil())
 	})
 })
--- a/transport/peers/tls_test.go
+++ b/transport/peers/tls_test.go
@@ -71,8 +71,8 @@
 		ours, theirs := newIssuer(), newIssuer()
 		address := startServer(Security{Secret: "secret", TLS: ours.config()})
 		Expect(ping(Security{Secret: "secret", TLS: ours.config()}, address)).To(Succeed())
-		Expect(ping(Security{Secret: "secret", TLS: theirs.config()}, address)).To(MatchError(ErrNoAnswer))
-		Expect(ping(Security{Secret: "secret"}, address)).To(MatchError(ErrNoAnswer))
+		Expect(ping(Security{Secret: "secret", TLS: theirs.config()}, address)).To(MatchError(ErrNoReply))
+		Expect(ping(Security{Secret: "secret"}, address)).To(MatchError(ErrNoReply))
 	})
 
 	It("requires all three files", func() {
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -30,10 +30,10 @@
 	ErrTargetExited = errors.New("upstream: the target's process has exited")
 )
 
-// TargetStatus is what a target reports about itself in the headers of a response.
-type TargetStatus struct {
-	// Known says that the target itself responded. A field that is zero was then not reported.
-	Known bool
+// ReportedStatus is what a target reports about itself in the headers of a response.
+type ReportedStatus struct {
+	// FromTarget says that the target itself responded. A field that is zero was then not reported.
+	FromTarget bool
 	// Leaving says that the target is about to leave.
 	Leaving bool
 	// Pause is how long this instance should send nothing to the target; 0 if not reported.
@@ -49,7 +49,7 @@
 // NotExecutedError is a response in which the target says that it did not execute the request.
 type NotExecutedError struct {
 	Status       int
-	TargetStatus TargetStatus
+	TargetStatus ReportedStatus
 }
 
 func (e *NotExecutedError) Error() string {
@@ -79,7 +79,7 @@
 	Body   []byte
 	// Close says that the target closes the connection, as leaving targets do.
 	Close        bool
-	TargetStatus TargetStatus
+	TargetStatus ReportedStatus
 }
 
 // Target identifies a target and its address.
@@ -293,12 +293,12 @@
 
 // targetStatus returns the status that the target reported. If another target has got the address,
 // the status is not that of this one and is ignored.
-func (x *exchange) targetStatus(resp *http.Response) TargetStatus {
+func (x *exchange) targetStatus(resp *http.Response) ReportedStatus {
 	names := x.client.names
-	if who := resp.Header.Get(names.AnsweredBy); who != "" && who != x.target.Name {
-		return TargetStatus{}
+	if who := resp.Header.Get(names.RespondingTarget); who != "" && who != x.target.Name {
+		return ReportedStatus{}
 	}
-	w := TargetStatus{Known: true, Leaving: resp.Header.Get(names.Leaving) != ""}
+	w := ReportedStatus{FromTarget: true, Leaving: resp.Header.Get(names.Leaving) != ""}
 	w.Limit = parseLimit(resp.Header.Get(names.Limit))
 	w.Slowness = parseSlowness(resp.Header.Get(names.Load))
 	if resp.StatusCode == http.StatusServiceUnavailable {
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -23,7 +23,7 @@
 }
 
 var names = wire.Names{
-	RequestID: "Id", Timeout: "Timeout", Signature: "Signed", Target: "Target", NotExecuted: "Not-Run", Key: "Key", Leaving: "Leaving", Limit: "Limit", Load: "Load", AnsweredBy: "Target-Is",
+	RequestID: "Id", Timeout: "Timeout", Signature: "Signed", Target: "Target", NotExecuted: "Not-Run", Key: "Key", Leaving: "Leaving", Limit: "Limit", Load: "Load", RespondingTarget: "Target-Is",
 }
 
 // script answers one request on a connection; n is the number of the request on it, from 1.
