--- a/cmd/lycheehall-soak/main.go
+++ b/cmd/lycheehall-soak/main.go
@@ -65,7 +65,7 @@
 		}
 	}
 	result, err := soak.Run(soak.Options{
-		Seed: seed, Size: soak.Size{Instances: o.instances, Targets: o.targets, InjectedFault: o.defect},
+		Seed: seed, DeploymentOptions: soak.DeploymentOptions{Instances: o.instances, Targets: o.targets, InjectedFault: o.defect},
 		Length: o.length, ProgramDir: o.programDir, Dir: dir, Progress: progress,
 	})
 	if err != nil {
--- a/cmd/lycheehalld/main.go
+++ b/cmd/lycheehalld/main.go
@@ -83,7 +83,7 @@
 func serve(path string, s settings.Settings) int {
 	p := platform.New(s.Platform)
 	if s.Rules == settings.RulesFromStore {
-		p = platform.NewWithOwnRules(s.Platform)
+		p = platform.NewWithStoredRules(s.Platform)
 	}
 	i, err := instance.New(s, p, os.Stdout)
 	if err != nil {
--- a/cmd/lycheehalld/standalone.go
+++ b/cmd/lycheehalld/standalone.go
@@ -38,7 +38,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
-	p := platform.NewWithOwnRules(s.Platform)
+	p := platform.NewWithStoredRules(s.Platform)
 	if err := storeInitialRules(p, rulesFile); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -77,8 +77,8 @@
 // Lamport returns the Lamport time, to be sent with a message.
 func (l *Log) Lamport() uint64 { return l.events.Lamport() }
 
-// Witness advances the Lamport time to at least the time received with a message.
-func (l *Log) Witness(lamport uint64) { l.events.Witness(lamport) }
+// AdvanceLamport advances the Lamport time to at least the time received with a message.
+func (l *Log) AdvanceLamport(lamport uint64) { l.events.AdvanceLamport(lamport) }
 
 // Events returns the latest state changes, oldest first.
 func (l *Log) Events() []timeline.Event { return l.events.Events() }
@@ -93,7 +93,7 @@
 	ring := l.events
 	if name == RequestEvent {
 		ring = l.requests
-		ring.Witness(l.events.Lamport())
+		ring.AdvanceLamport(l.events.Lamport())
 	}
 	lamport := ring.Record(now, name, fields...)
 	if !l.limiter.Allow() {
--- a/instance/adminbackend.go
+++ b/instance/adminbackend.go
@@ -245,7 +245,7 @@
 
 // Rules implements admin.Backend.
 func (o adminBackend) Rules(ctx context.Context) (rulestore.Record, error) {
-	if !o.platform.OwnRules {
+	if !o.platform.StoresRules {
 		return rulestore.Record{}, errRulesOfPlatform
 	}
 	return rulestore.Current(ctx, o.platform.Store)
@@ -253,7 +253,7 @@
 
 // History implements admin.Backend.
 func (o adminBackend) History(ctx context.Context) ([]rulestore.Record, error) {
-	if !o.platform.OwnRules {
+	if !o.platform.StoresRules {
 		return nil, errRulesOfPlatform
 	}
 	return rulestore.History(ctx, o.platform.Store)
@@ -261,7 +261,7 @@
 
 // Apply implements admin.Backend.
 func (o adminBackend) Apply(ctx context.Context, base uint64, change rulestore.Record) (uint64, error) {
-	if !o.platform.OwnRules {
+	if !o.platform.StoresRules {
 		return 0, errRulesOfPlatform
 	}
 	change.Version = o.board.Snapshot().RulesVersion + 1
@@ -272,10 +272,10 @@
 
 // SetEvacuated implements admin.Backend.
 func (o adminBackend) SetEvacuated(ctx context.Context, dataCentre string, inForce bool) error {
-	if !o.platform.OwnRules {
+	if !o.platform.StoresRules {
 		return errRulesOfPlatform
 	}
-	err := rulestore.Evacuate(ctx, o.platform.Store, dataCentre, inForce)
+	err := rulestore.SetEvacuated(ctx, o.platform.Store, dataCentre, inForce)
 	o.log.Event("evacuation-change", "data_centre", dataCentre, "in_force", inForce, "error", errorText(err))
 	return err
 }
--- a/instance/bench_test.go
+++ b/instance/bench_test.go
@@ -48,7 +48,7 @@
 		b.Fatal(err)
 	}
 	storeAddress := serveLocal(b, d.store.Handler())
-	p := platform.NewWithOwnRules(storeAddress)
+	p := platform.NewWithStoredRules(storeAddress)
 	if _, err := rulestore.Apply(context.Background(), p.Store, 0, rulestore.Record{Text: examples.Rules}); err != nil {
 		b.Fatal(err)
 	}
--- a/instance/child_test.go
+++ b/instance/child_test.go
@@ -54,7 +54,7 @@
 		childTarget(standin.NewTarget(args[0], "bookings", true), args[1])
 	case "crashing target":
 		target := standin.NewTarget(args[0], "dispatch", false)
-		target.CrashOn = crashPath
+		target.CrashPath = crashPath
 		target.Crash = func() { os.Exit(crashCode) }
 		childTarget(target, args[1])
 	case "instance":
@@ -104,7 +104,7 @@
 	s.Name, s.DataCentre, s.Platform = name, "dc-"+name, platformAddress
 	s.Listen, s.Peer, s.Admin, s.Readiness = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	s.OperatorToken, s.Secret = testSecret, testSecret
-	i, err := instance.New(s, platform.NewWithOwnRules(platformAddress), io.Discard)
+	i, err := instance.New(s, platform.NewWithStoredRules(platformAddress), io.Discard)
 	if err != nil {
 		panic(err)
 	}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -49,9 +49,9 @@
 	Source  lead.Source
 	Encoder orders.Encoder
 	Names   wire.Names
-	// OwnRules is set if lycheehall itself stores the rules, instead of the platform's
+	// StoresRules is set if lycheehall itself stores the rules, instead of the platform's
 	// configuration.
-	OwnRules bool
+	StoresRules bool
 }
 
 // balancePolicy says when key ranges are moved for balance, in addition to the services' own
@@ -192,7 +192,7 @@
 	args.Lamport = p.log.Lamport()
 	reply, err := p.Client.Sync(ctx, address, args)
 	if err == nil {
-		p.log.Witness(reply.Lamport)
+		p.log.AdvanceLamport(reply.Lamport)
 	}
 	return reply, err
 }
@@ -317,7 +317,7 @@
 
 // Sync implements peers.Backend.
 func (b *peerBackend) Sync(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
-	b.log.Witness(args.Lamport)
+	b.log.AdvanceLamport(args.Lamport)
 	reply := b.coordinator.Sync(ctx, args)
 	reply.Lamport = b.log.Lamport()
 	return reply
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -137,7 +137,7 @@
 		s := settings.Default()
 		s.Listen, s.Peer, s.Admin, s.Readiness = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 		s.Grace = settings.Duration(3500 * time.Millisecond)
-		p := platform.NewWithOwnRules("127.0.0.1:1")
+		p := platform.NewWithStoredRules("127.0.0.1:1")
 		hang := make(chan struct{})
 		DeferCleanup(func() { close(hang) })
 		p.Store = hangingStore{hang}
--- a/instance/limit_test.go
+++ b/instance/limit_test.go
@@ -34,8 +34,8 @@
 	GinkgoHelper()
 	var begun []int64
 	for _, r := range c.runs() {
-		if r.Begun > after.UnixNano() {
-			begun = append(begun, r.Begun)
+		if r.StartedAt > after.UnixNano() {
+			begun = append(begun, r.StartedAt)
 		}
 	}
 	slices.Sort(begun)
@@ -91,21 +91,21 @@
 	expectWithinLimit := func(targets map[string]*child, since time.Time) {
 		GinkgoHelper()
 		for id, target := range targets {
-			Expect(float64(target.maxRequestsWithin(standin.LimitWindow, since.Add(standin.LimitGrace)))).To(BeNumerically("<=", standin.MaxRequestsInLimitWindow(perSecond)), id)
+			Expect(float64(target.maxRequestsWithin(standin.LimitWindow, since.Add(standin.LimitTolerance)))).To(BeNumerically("<=", standin.MaxRequestsInLimitWindow(perSecond)), id)
 		}
 	}
 
 	// expectServed checks that at least half of what the targets accept is served.
 	expectServed := func(answered int, targets map[string]*child) {
 		GinkgoHelper()
-		taken := perSecond * float64(len(targets)) * (standin.LimitGrace + countingTime).Seconds()
+		taken := perSecond * float64(len(targets)) * (standin.LimitTolerance + countingTime).Seconds()
 		Expect(float64(answered)).To(BeNumerically(">", taken/2))
 	}
 
 	It("get no more requests than that with keys (guards against each instance counting for itself)", func() {
 		d := startDeployment()
 		since := announceAll(d.targets)
-		answered := overload(d, standin.LimitGrace+countingTime, func(i, n int) int {
+		answered := overload(d, standin.LimitTolerance+countingTime, func(i, n int) int {
 			return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status
 		})
 		expectWithinLimit(d.targets, since)
@@ -115,8 +115,8 @@
 	It("get no more requests than that when an instance is lost (guards against a next keeper that starts to count anew)", func() {
 		d := startDeployment()
 		since := announceAll(d.targets)
-		time.AfterFunc(standin.LimitGrace+time.Second, func() { _ = d.instances[1].cmd.Process.Signal(syscall.SIGKILL) })
-		overload(d, standin.LimitGrace+countingTime, func(i, n int) int {
+		time.AfterFunc(standin.LimitTolerance+time.Second, func() { _ = d.instances[1].cmd.Process.Signal(syscall.SIGKILL) })
+		overload(d, standin.LimitTolerance+countingTime, func(i, n int) int {
 			return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status
 		})
 		expectWithinLimit(d.targets, since)
@@ -132,7 +132,7 @@
 		f := &crashingDeployment{deployment: d}
 		f.startInstances()
 		since := announceAll(d.targets)
-		answered := overload(d, standin.LimitGrace+countingTime, func(i, n int) int { return f.dispatch(i, fmt.Sprint("/dispatch/job-", n)) })
+		answered := overload(d, standin.LimitTolerance+countingTime, func(i, n int) int { return f.dispatch(i, fmt.Sprint("/dispatch/job-", n)) })
 		expectWithinLimit(d.targets, since)
 		expectServed(answered, d.targets)
 	})
@@ -155,7 +155,7 @@
 		d := startDeployment()
 		announceAll(d.targets)
 		request := func(i, n int) int { return d.book(i, fmt.Sprint("key", n%keyCount), fmt.Sprint("limit-", n)).status }
-		overload(d, standin.LimitGrace, request)
+		overload(d, standin.LimitTolerance, request)
 		for _, target := range d.targets {
 			target.announceLimit(0)
 		}
--- a/soak/check.go
+++ b/soak/check.go
@@ -46,7 +46,7 @@
 	}
 	var violations []string
 	for key, keyRuns := range byKey {
-		slices.SortFunc(keyRuns, func(a, b standin.Record) int { return cmp.Compare(a.Begun, b.Begun) })
+		slices.SortFunc(keyRuns, func(a, b standin.Record) int { return cmp.Compare(a.StartedAt, b.StartedAt) })
 		for i := 1; i < len(keyRuns); i++ {
 			if keyRuns[i].Fence < keyRuns[i-1].Fence || keyRuns[i].Fence == keyRuns[i-1].Fence && keyRuns[i].Target != keyRuns[i-1].Target {
 				violations = append(violations, fmt.Sprintf("key %d: %s began %s under fence %d after %s had begun %s under fence %d",
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -149,7 +149,7 @@
 	defer cancel()
 	store := platform.NewStore(s.fleet.storeAddress)
 	defer store.Close()
-	if err := rulestore.Evacuate(ctx, store, name, inForce); err != nil {
+	if err := rulestore.SetEvacuated(ctx, store, name, inForce); err != nil {
 		s.Progress("%v", err)
 		return false
 	}
@@ -162,7 +162,7 @@
 func checkEvacuations(results map[string]CallResult, runs []standin.Record, evacuations []evacuation, disconnected map[string][]interval) []string {
 	var violations []string
 	for _, r := range runs {
-		begun := time.Unix(0, r.Begun)
+		begun := time.Unix(0, r.StartedAt)
 		for _, e := range evacuations {
 			if r.DataCentre != e.dataCentre || begun.Sub(e.from) <= evacuationDelay || begun.After(e.to) {
 				continue
@@ -185,7 +185,7 @@
 	byTarget := map[string][]int64{}
 	for _, r := range runs {
 		if r.Cold {
-			byTarget[r.Target] = append(byTarget[r.Target], r.Begun)
+			byTarget[r.Target] = append(byTarget[r.Target], r.StartedAt)
 		}
 	}
 	const maxRequests = int(coldRate*standin.ColdRateFactor + standin.ColdRateAllowance)
--- a/soak/evacuations_test.go
+++ b/soak/evacuations_test.go
@@ -14,7 +14,7 @@
 	start := time.Unix(1000, 0)
 	evacuations := []evacuation{{"dc1", interval{start, start.Add(9 * time.Second)}}}
 	at := func(dataCentre string, d time.Duration) []standin.Record {
-		return []standin.Record{{Request: "a", Target: "t", DataCentre: dataCentre, Begun: start.Add(d).UnixNano()}}
+		return []standin.Record{{Request: "a", Target: "t", DataCentre: dataCentre, StartedAt: start.Add(d).UnixNano()}}
 	}
 	results := map[string]CallResult{"a": {Instance: "i1"}}
 
@@ -35,7 +35,7 @@
 	runs := func(count int, within time.Duration, cold bool) []standin.Record {
 		var list []standin.Record
 		for i := range count {
-			list = append(list, standin.Record{Request: fmt.Sprint(i), Target: "t", Cold: cold, Begun: int64(i) * int64(within) / int64(count)})
+			list = append(list, standin.Record{Request: fmt.Sprint(i), Target: "t", Cold: cold, StartedAt: int64(i) * int64(within) / int64(count)})
 		}
 		return list
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -131,8 +131,8 @@
 // dataCentreName returns the data centre of the i-th process of a kind.
 func dataCentreName(i int) string { return fmt.Sprintf("dc%d", i%dataCentres+1) }
 
-// Size is the number of instances and targets of a Fleet, and the defect of the targets.
-type Size struct {
+// DeploymentOptions is the number of instances and targets of a Fleet, and the defect of the targets.
+type DeploymentOptions struct {
 	Instances int
 	Targets   int
 	// InjectedFault is a deliberate defect of the targets, to test whether the checks find it; "": none.
@@ -169,7 +169,7 @@
 
 // NewFleet starts a deployment with the built programs of a directory. Logs and records go to dir.
 // The fleet is returned also with an error; it must be stopped in any case.
-func NewFleet(programs, dir string, size Size) (*Fleet, error) {
+func NewFleet(programs, dir string, size DeploymentOptions) (*Fleet, error) {
 	f := &Fleet{dir: dir}
 	if err := f.startStore(programs); err != nil {
 		return f, err
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -16,7 +16,7 @@
 	minLimit = 2
 	maxLimit = 12
 	// minLimitTime and maxLimitTime bound how long a target announces limits.
-	minLimitTime = standin.LimitGrace + 2*time.Second
+	minLimitTime = standin.LimitTolerance + 2*time.Second
 	maxLimitTime = 10 * time.Second
 	// maxLimitPause is the longest time between two targets with limits.
 	maxLimitPause = 3 * time.Second
@@ -66,7 +66,7 @@
 // when it is interrupted.
 func checkLimits(results map[string]CallResult, runs []standin.Record, interrupted map[string][]time.Time) []string {
 	runs = slices.Clone(runs)
-	slices.SortFunc(runs, func(a, b standin.Record) int { return int(a.Begun - b.Begun) })
+	slices.SortFunc(runs, func(a, b standin.Record) int { return int(a.StartedAt - b.StartedAt) })
 	learned := map[instanceTarget]time.Time{}
 	byTarget := map[string][]limitedRequest{}
 	for _, r := range runs {
@@ -75,13 +75,13 @@
 		}
 		result := results[r.Request]
 		pair := instanceTarget{result.Instance, r.Target}
-		begun := time.Unix(0, r.Begun)
-		since := begun.Add(-time.Duration(r.Limited))
+		begun := time.Unix(0, r.StartedAt)
+		since := begun.Add(-time.Duration(r.LimitAge))
 		at, known := learned[pair]
 		// An announcement of an earlier limit does not count, nor one before an interruption.
 		binds := known && at.After(since) && begun.Sub(at) >= limitDelay && !anyBetween(interrupted[result.Instance], at, begun)
-		if binds && time.Duration(r.Limited) >= standin.LimitGrace {
-			byTarget[r.Target] = append(byTarget[r.Target], limitedRequest{r.Begun, r.Limit})
+		if binds && time.Duration(r.LimitAge) >= standin.LimitTolerance {
+			byTarget[r.Target] = append(byTarget[r.Target], limitedRequest{r.StartedAt, r.Limit})
 		}
 		if result.Limited && (!known || at.Before(since) || anyBetween(interrupted[result.Instance], at, result.Received)) {
 			learned[pair] = result.Received
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -17,7 +17,7 @@
 // Options are the options of one soak run.
 type Options struct {
 	Seed uint64
-	Size
+	DeploymentOptions
 	// Length is how long faults are injected.
 	Length time.Duration
 	// ProgramDir is the directory of the built programs. Dir is the directory for logs and records.
@@ -66,7 +66,7 @@
 
 // Run runs one seed and returns what it has found. An error means that the run itself failed.
 func Run(o Options) (*Result, error) {
-	fleet, err := NewFleet(o.ProgramDir, o.Dir, o.Size)
+	fleet, err := NewFleet(o.ProgramDir, o.Dir, o.DeploymentOptions)
 	defer fleet.Stop()
 	if err != nil {
 		return nil, err
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -48,7 +48,7 @@
 func runSeed(programs string, seed uint64, length time.Duration, plant string) *Result {
 	GinkgoHelper()
 	result, err := Run(Options{
-		Seed: seed, Size: Size{Instances: 3, Targets: 3, InjectedFault: plant}, Length: length,
+		Seed: seed, DeploymentOptions: DeploymentOptions{Instances: 3, Targets: 3, InjectedFault: plant}, Length: length,
 		ProgramDir: programs, Dir: GinkgoT().TempDir(),
 		Progress: func(format string, args ...any) { GinkgoWriter.Printf(format+"\n", args...) },
 	})
@@ -104,13 +104,13 @@
 	})
 
 	It("finds a deliberate defect in real processes", func() {
-		Expect(runSeed(buildPrograms(), 7, time.Second, string(standin.RunTwice)).Violations).NotTo(BeEmpty())
+		Expect(runSeed(buildPrograms(), 7, time.Second, string(standin.RecordTwice)).Violations).NotTo(BeEmpty())
 	})
 })
 
 var _ = Describe("the check of requests", func() {
 	run := func(id string, key int, fence uint64, begun int64) standin.Record {
-		return standin.Record{Request: id, Target: "t", Key: key, Fence: fence, Begun: begun}
+		return standin.Record{Request: id, Target: "t", Key: key, Fence: fence, StartedAt: begun}
 	}
 
 	It("accepts results that keep the guarantees", func() {
@@ -129,7 +129,7 @@
 		Entry("a run of a request refused as not run", CallResult{Outcome: NotRun, Status: 503}, []standin.Record{run("a", 1, 1, 1)}, "refused as not run"),
 		Entry("an answer without a run", CallResult{Outcome: Answered, OwnAnswer: true}, nil, "did not run"),
 		Entry("an answer to another request", CallResult{Outcome: Answered}, []standin.Record{run("a", 1, 1, 1)}, "not its own"),
-		Entry("a restarted target with the fence of its former process", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 1, 1), {Request: "x", Target: "again", Key: 1, Fence: 1, Begun: 2}}, "under fence 1 after"),
+		Entry("a restarted target with the fence of its former process", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 1, 1), {Request: "x", Target: "again", Key: 1, Fence: 1, StartedAt: 2}}, "under fence 1 after"),
 		Entry("a former owner that begins work after the next one", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 2, 1), run("x", 1, 1, 2)}, "under fence 1 after"),
 	)
 })
@@ -241,7 +241,7 @@
 			at := start.Add(time.Duration(n) * time.Second / time.Duration(rate))
 			id := strconv.Itoa(n)
 			results[id] = CallResult{Outcome: Answered, Instance: instances[n%len(instances)], Sent: at, Received: at.Add(time.Millisecond), Limited: true}
-			runs = append(runs, standin.Record{Request: id, Target: "t started 1", Begun: at.UnixNano(), Limit: perSecond, Limited: int64(at.Sub(start))})
+			runs = append(runs, standin.Record{Request: id, Target: "t started 1", StartedAt: at.UnixNano(), Limit: perSecond, LimitAge: int64(at.Sub(start))})
 		}
 		return checkLimits(results, runs, interrupted)
 	}
--- a/state/rulestore/evacuate.go
+++ b/state/rulestore/evacuate.go
@@ -23,9 +23,9 @@
 	return dataCentre, ok && dataCentre != ""
 }
 
-// Evacuate starts the evacuation of a data centre, whose targets then receive no requests, or ends it
+// SetEvacuated starts the evacuation of a data centre, whose targets then receive no requests, or ends it
 // if inForce is false. It does nothing if the evacuation is already in that state.
-func Evacuate(ctx context.Context, s store.Store, dataCentre string, inForce bool) error {
+func SetEvacuated(ctx context.Context, s store.Store, dataCentre string, inForce bool) error {
 	if dataCentre == "" {
 		return fmt.Errorf("%w: the name of the data centre is empty", ErrInvalid)
 	}
--- a/state/rulestore/rulestore_test.go
+++ b/state/rulestore/rulestore_test.go
@@ -36,15 +36,15 @@
 			return list
 		}
 		for range 2 {
-			Expect(rulestore.Evacuate(ctx, s, "dc1", true)).To(Succeed())
+			Expect(rulestore.SetEvacuated(ctx, s, "dc1", true)).To(Succeed())
 			Expect(evacuated()).To(Equal([]string{"dc1"}))
 		}
-		Expect(rulestore.Evacuate(ctx, s, "dc2", false)).To(Succeed())
+		Expect(rulestore.SetEvacuated(ctx, s, "dc2", false)).To(Succeed())
 		for range 2 {
-			Expect(rulestore.Evacuate(ctx, s, "dc1", false)).To(Succeed())
+			Expect(rulestore.SetEvacuated(ctx, s, "dc1", false)).To(Succeed())
 			Expect(evacuated()).To(BeEmpty())
 		}
-		Expect(rulestore.Evacuate(ctx, s, "", true)).To(MatchError(rulestore.ErrInvalid))
+		Expect(rulestore.SetEvacuated(ctx, s, "", true)).To(MatchError(rulestore.ErrInvalid))
 	})
 })
 
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -97,8 +97,8 @@
 	return r.lamport
 }
 
-// Witness advances the Lamport time to at least the time received with a message.
-func (r *Ring) Witness(lamport uint64) {
+// AdvanceLamport advances the Lamport time to at least the time received with a message.
+func (r *Ring) AdvanceLamport(lamport uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lamport = max(r.lamport, lamport)
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -20,7 +20,7 @@
 		a, b := NewRing("a", 10), NewRing("b", 10)
 		late := time.Unix(7200, 0)
 		a.Record(late, "map-stored")
-		b.Witness(a.Lamport())
+		b.AdvanceLamport(a.Lamport())
 		b.Record(late.Add(-time.Hour), "map-adopted")
 		merged := Merge(b.Events(), a.Events())
 		Expect(merged[0].Kind).To(Equal("map-stored"))
