--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -49,7 +49,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		version, err := t.c.store.Commit(callCtx, txn)
 		cancel()
-		var reread *stored
+		var reread *storedRows
 		if err != nil && !errors.Is(err, store.ErrNotApplied) && !errors.Is(err, store.ErrThrottled) {
 			// The outcome is unknown; what the store holds now shows it.
 			reread, _ = t.c.readStored(ctx)
@@ -69,8 +69,9 @@
 }
 
 // addQuarantineRow adds the quarantined requests to a transaction if the store does not have them
-// yet, and returns the row's new content. Without the row, the loss of all instances would lose the
-// list: the next instances would learn of a request that crashes targets only from further crashes.
+// yet, and returns the row's new content. Without the row, the list would be lost if all instances
+// were killed: the next ones would recognize a request that crashes targets only after further
+// crashes.
 func (t *term) addQuarantineRow(txn *store.Txn) []byte {
 	text, err := t.c.quarantine.PendingWrite()
 	if err != nil {
@@ -108,7 +109,7 @@
 
 // recordCommit handles the outcome of a commit that was begun at the given time. reread is what the
 // store held afterwards; nil if the outcome is known or the store could not be read.
-func (t *term) recordCommit(begun clock.Instant, proposed map[string]*keyrange.Map, version uint64, err error, reread *stored) {
+func (t *term) recordCommit(begun clock.Instant, proposed map[string]*keyrange.Map, version uint64, err error, reread *storedRows) {
 	t.committing = false
 	if err == nil && store.EraOf(version) != t.stored.era || reread != nil && reread.era != t.stored.era {
 		t.endAfterRestore(t.c.clock.Now())
@@ -141,7 +142,7 @@
 }
 
 // reconcile continues from what the store holds after a commit of unknown outcome.
-func (t *term) reconcile(s *stored, begun clock.Instant) {
+func (t *term) reconcile(s *storedRows, begun clock.Instant) {
 	if s.lease.Holder != t.c.config.Self.ID || s.lease.Term != t.stored.lease.Term || s.lease.Vacant {
 		t.c.log("lease-lost", "term", t.stored.lease.Term, "holder", s.lease.Holder)
 		t.ended = true
@@ -164,7 +165,7 @@
 	}
 }
 
-// publishMap puts a stored map into force.
+// publishMap makes a stored map current, so that replies contain it.
 func (t *term) publishMap(service string, m *keyrange.Map) {
 	changed := m.Diff(t.managers[service].Map())
 	t.managers[service].RecordStored(m)
@@ -172,7 +173,7 @@
 	t.c.log("map-stored", "service", service, "map", m.Version, "ranges", len(m.Ranges), "changed", len(changed), "first", describeRanges(changed))
 }
 
-// maxLoggedRanges bounds the changed ranges that a log line lists.
+// maxLoggedRanges limits how many changed ranges a log line lists.
 const maxLoggedRanges = 8
 
 // describeRanges lists the owners, and the next owners, of the first of the given ranges.
@@ -188,23 +189,23 @@
 	return list
 }
 
-// maxExitWait bounds the wait for the term's loop to exit when the lease is given up.
+// maxExitWait limits the wait for the term's loop to exit when the lease is given up.
 const maxExitWait = 500 * time.Millisecond
 
 const (
-	// leaveCheckTimeout bounds the call that shows whether the store answers. A slow store takes up
-	// to 0.4 s.
-	leaveCheckTimeout = 600 * time.Millisecond
-	// extendHoldsTime is how long a leaving leader goes on so that the renewals of all grants are
-	// sent.
+	// giveUpCheckTimeout limits the call that shows whether the store answers. A slow store takes
+	// up to 0.4 s.
+	giveUpCheckTimeout = 600 * time.Millisecond
+	// extendHoldsTime is how long an instance that gives the lease up goes on leading, so that the
+	// renewals of all grants are sent.
 	extendHoldsTime = 300 * time.Millisecond
 )
 
-// extendHoldsBeforeLeaving gives all targets the longest hold if the store does not answer. No
+// extendHoldsBeforeGivingUp gives all targets the longest hold if the store does not answer. No
 // instance can take the lease then, and without longer holds the keys of all targets would be
 // unserved once the current holds have expired.
-func (t *term) extendHoldsBeforeLeaving(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, leaveCheckTimeout)
+func (t *term) extendHoldsBeforeGivingUp(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, giveUpCheckTimeout)
 	defer cancel()
 	if _, err := t.c.readStored(callCtx); err == nil {
 		return
@@ -219,9 +220,9 @@
 	sleep(ctx, extendHoldsTime)
 }
 
-// resign gives the lease up, so that another instance can take it at once.
-func (t *term) resign(ctx context.Context) {
-	t.extendHoldsBeforeLeaving(ctx)
+// giveUp gives the lease up, so that another instance can take it at once.
+func (t *term) giveUp(ctx context.Context) {
+	t.extendHoldsBeforeGivingUp(ctx)
 	t.stopOnce.Do(func() { close(t.stop) })
 	select {
 	case <-t.exited:
@@ -229,7 +230,7 @@
 		return
 	}
 	var err error
-	for range maxResignTries {
+	for range maxGiveUpAttempts {
 		if err = t.markVacant(ctx); !errors.Is(err, store.ErrConflict) {
 			break
 		}
@@ -239,13 +240,13 @@
 	}
 }
 
-// maxResignTries bounds the writes that give the lease up. At most one of them conflicts with a
-// change that was already on its way. After a single failed try the lease stays taken for 2.3 s,
-// until it has expired, and nobody leads.
-const maxResignTries = 3
+// maxGiveUpAttempts limits the writes that give the lease up. At most one of them conflicts with a
+// change that was already on its way. If a failed write were not repeated, the lease would stay
+// taken for 2.3 s, until it has expired, and nobody would lead.
+const maxGiveUpAttempts = 3
 
-// markVacant notes in the store that the lease's holder, if it is this instance, does not act any
-// more.
+// markVacant marks the lease as vacant in the store if this instance holds it: the holder does not
+// act under it any more.
 func (t *term) markVacant(ctx context.Context) error {
 	s, err := t.c.readStored(ctx)
 	if err != nil {
--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -18,7 +18,7 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Log writes one line about a decision or a state change: an event name, then alternating field
+// Log writes one line about a decision or a change of state: an event name, then alternating field
 // names and values. It does not block.
 type Log func(event string, fields ...any)
 
@@ -29,11 +29,15 @@
 
 // OrderSender sends orders to targets.
 type OrderSender interface {
+	// Do sends an order. It returns the outcome, the handover reference of the target's response to
+	// a release (see assign.Order.Handover), and when the order was sent; clock.Never if it was not
+	// sent.
 	Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant)
+	// CloseIdleExcept closes the idle connections to all targets for which keep returns false.
 	CloseIdleExcept(keep func(target string) bool)
 }
 
-// Config holds the settings and collaborators of a Coordinator.
+// Config holds the settings of a Coordinator and the objects that it uses.
 type Config struct {
 	Self   view.Instance
 	Source Source
@@ -41,12 +45,14 @@
 	Seeds []string
 	// HoldMax is the longest hold of a grant that targets accept.
 	HoldMax time.Duration
-	Policy  keyrange.Policy
+	// Policy sets when keys are moved to balance the load. Its Imbalance is replaced by that of
+	// each service's rules, and its MaxMoves by a number that assign.Manager computes.
+	Policy keyrange.Policy
 	// Quarantine holds the requests that have crashed targets. If nil, the coordinator creates a
-	// registry of its own.
+	// tracker of its own.
 	Quarantine *quarantine.Tracker
-	// TargetStatus holds what targets have reported about themselves in answers to this instance.
-	// If nil, the coordinator creates a registry of its own.
+	// TargetStatus holds the status that targets have reported in responses to this instance. If
+	// nil, the coordinator creates a tracker of its own.
 	TargetStatus *targetstatus.Tracker
 }
 
@@ -73,8 +79,8 @@
 	aggregator *demand.Aggregator
 	log        Log
 	reader     *reader
-	// targetStatus holds the targets that have announced in an answer that they are leaving; the leader
-	// moves their keys away.
+	// targetStatus holds the targets that have reported in a response that they are leaving; the
+	// leader moves their keys away.
 	targetStatus *targetstatus.Tracker
 	// quarantine is synchronized between instances along with the reports.
 	quarantine *quarantine.Tracker
@@ -87,26 +93,28 @@
 	leader lease.Row
 	// term is this instance's leadership; nil while it follows.
 	term           *term
-	leaving        bool
+	shuttingDown   bool
 	storeAvailable bool
-	// storeLostAt is when the store last became unavailable.
-	storeLostAt clock.Instant
-	outage      outage
+	// storeUnavailableSince is when the store last became unavailable.
+	storeUnavailableSince clock.Instant
+	outage                outage
 	// storeFailedAt is when a call to the store last failed.
 	storeFailedAt clock.Instant
 	lastSync      clock.Instant
-	// rulesRefused says that the rules of the last reply could not be applied.
+	// rulesRefused says that the rules of the last reply could not be adopted.
 	rulesRefused bool
-	// lostLeader is the ID of the last leader that was found not to lead any more.
+	// lostLeader is the ID of the last leader that did not reply or replied that it does not lead,
+	// or of this instance if its own term has ended since; empty while a leader replies to this
+	// instance.
 	lostLeader string
-	// priorTerm is what this instance knew when the store was restored from a copy while it led.
-	priorTerm priorTerm
+	// formerTerm is what this instance knew when the store was restored from a backup while it led.
+	formerTerm formerTerm
 	// heardFromLeader says that this instance has led, or that a leader has replied to it.
 	heardFromLeader bool
-	// leaderFound is closed when the next leader is found.
+	// leaderFound is closed and replaced when the next leader is found.
 	leaderFound chan struct{}
-	// becameCurrent is closed when this instance has learnt the state of the lease, from the store
-	// or from the leader.
+	// becameCurrent is closed and replaced when this instance has read the lease, or has had a
+	// reply from the leader, directly or through a relay.
 	becameCurrent chan struct{}
 	// leaseReadAt is when this instance last read the lease row.
 	leaseReadAt clock.Instant
@@ -115,13 +123,13 @@
 	leaseNeverHeld bool
 	// mayReadStore is closed when this instance may read the store.
 	mayReadStore chan struct{}
-	// handedOverAt is when this instance last handed the lease over to a larger instance.
-	handedOverAt clock.Instant
-	// vacatedTerm is the newest term whose leader has announced that it stopped leading.
-	vacatedTerm vacatedTerm
+	// gaveUpToLargerAt is when this instance last gave the lease up to a larger instance.
+	gaveUpToLargerAt clock.Instant
+	// givenUpTerm is the newest term whose leader has announced that it gave it up.
+	givenUpTerm givenUpTerm
 	// storeAnsweredAt is when the store last answered a probe made for the leader.
 	storeAnsweredAt clock.Instant
-	// cachedDuties caches the ranking of instances for duties.
+	// cachedDuties caches which instances have which duty.
 	cachedDuties duties
 	// unresponsive holds the time of the last failed call to each relay, by address.
 	unresponsive map[string]clock.Instant
@@ -133,10 +141,10 @@
 	refreshFailed bool
 	// leaderRepliedAt is when the leader itself last replied to a report of this instance.
 	leaderRepliedAt clock.Instant
-	// downstreams are the instances that report through this one, by ID.
+	// downstreams are the instances that report to the leader through this one, by ID.
 	downstreams map[string]*downstream
-	// heldReports is the number of reports whose replies this instance is holding.
-	heldReports atomic.Int64
+	// delayedReplies is the number of reports whose replies this instance is delaying.
+	delayedReplies atomic.Int64
 	// history holds recent versions of the snapshot, from which replies with changes are made.
 	history history
 }
@@ -155,7 +163,7 @@
 		reader: newReader(c, s, config.Source, board, log), quarantine: config.Quarantine, targetStatus: config.TargetStatus,
 		wake: make(chan struct{}, 1), lastSync: clock.Never, storeAvailable: true,
 		leaderFound: make(chan struct{}), becameCurrent: make(chan struct{}), leaseReadAt: clock.Never, storeAnsweredAt: clock.Never, startedAt: c.Now(),
-		unresponsive: map[string]clock.Instant{}, downstreams: map[string]*downstream{}, leaderRepliedAt: clock.Never, relaysRepliedAt: clock.Never, refreshedAt: clock.Never, outage: newOutage(), handedOverAt: clock.Never, mayReadStore: make(chan struct{}),
+		unresponsive: map[string]clock.Instant{}, downstreams: map[string]*downstream{}, leaderRepliedAt: clock.Never, relaysRepliedAt: clock.Never, refreshedAt: clock.Never, outage: newOutage(), gaveUpToLargerAt: clock.Never, mayReadStore: make(chan struct{}),
 	}
 }
 
@@ -189,14 +197,15 @@
 	running.Wait()
 }
 
-// PrepareShutdown ends this instance's leadership and announces to the others that it takes no duties.
+// PrepareShutdown gives the lease up if this instance leads. From then on its reports say that it
+// is shutting down, and it neither takes the lease nor replies as a relay.
 func (c *Coordinator) PrepareShutdown(ctx context.Context) {
 	c.mu.Lock()
-	c.leaving = true
+	c.shuttingDown = true
 	t := c.term
 	c.mu.Unlock()
 	if t != nil {
-		t.resign(ctx)
+		t.giveUp(ctx)
 	}
 }
 
--- a/coordination/lead/doc.go
+++ b/coordination/lead/doc.go
@@ -1,5 +1,5 @@
 // Package lead coordinates the instances of a deployment. One of them is the leader: the holder of
-// the lease in the store. It reads the registry and the configuration for all instances, keeps keys
+// the lease in the store. It reads the registry and the rules for all instances, keeps keys
 // assigned to targets, and replies to the reports of the other instances with what has changed.
 //
 // The other instances are followers: each keeps one call open at the leader. When that call fails,
--- a/coordination/lead/evacuation_test.go
+++ b/coordination/lead/evacuation_test.go
@@ -77,7 +77,7 @@
 		Expect(starting.board.Snapshot().Evacuations.Contains("dc2")).To(BeTrue())
 	})
 
-	It("count as an update for an instance that does not know them (guards against holding its report while requests still go to evacuated targets)", func() {
+	It("count as an update for an instance that does not know them (guards against delaying the reply while requests still go to evacuated targets)", func() {
 		leader, follower := newCoordinator(), newCoordinator()
 		leader.board.SetEvacuations(3, []string{"dc1"})
 		Expect(hasUpdateFor(follower.newSyncArgs(), leader.board.Snapshot())).To(BeTrue())
@@ -85,7 +85,7 @@
 })
 
 var _ = Describe("a target that the registry lists as cold", func() {
-	It("keeps its cold time until an entry names another one (guards against an update to all instances at each heartbeat)", func() {
+	It("keeps its cold time until an entry reports another one (guards against an update to all instances at each heartbeat)", func() {
 		now := clock.Instant(time.Hour)
 		first := withColdUntil(view.Target{}, view.Target{ID: "x", Cold: 3 * time.Second}, 5, now)
 		later := withColdUntil(first, view.Target{ID: "x", Cold: 2200 * time.Millisecond}, 6, now.Add(900*time.Millisecond))
--- a/coordination/lead/follow.go
+++ b/coordination/lead/follow.go
@@ -21,20 +21,20 @@
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		address := c.leader.Address
-		leaving := c.leaving
+		shuttingDown := c.shuttingDown
 		c.mu.Unlock()
 		if address != "" && address != c.config.Self.Address {
-			if relay := c.treeRelay(); relay != "" && c.reportViaRelay(ctx, relay, leaving) {
+			if relay := c.treeRelay(); relay != "" && c.reportViaRelay(ctx, relay, shuttingDown) {
 				continue
 			}
-			if c.reportTo(ctx, address, leaving) {
+			if c.reportTo(ctx, address, shuttingDown) {
 				continue
 			}
 		}
 		if !c.mayResumeLeading() && c.askRelays(ctx, false) {
 			continue
 		}
-		t, err := c.checkLease(ctx, !leaving && !c.pausesBids())
+		t, err := c.checkLease(ctx, !shuttingDown && !c.pausesBids())
 		c.allowStoreReads(ctx)
 		if t == nil && c.mayResumeLeading() {
 			sleep(ctx, resumePause)
@@ -47,8 +47,8 @@
 			if c.isFollowing() {
 				continue
 			}
-			look := c.scaleToFleet(leaseReadInterval)
-			c.awaitNextLeaseRead(ctx, c.pauseAfterFailure(pause.after(err, look/2+rand.N(look/2)), err), err)
+			interval := c.scaleToFleet(leaseReadInterval)
+			c.awaitNextLeaseRead(ctx, c.pauseAfterFailure(pause.after(err, interval/2+rand.N(interval/2)), err), err)
 			continue
 		}
 		t.run(ctx)
@@ -63,9 +63,9 @@
 // awaitNextLeaseRead waits until it is time to read the lease again, or until a relay has replied
 // with current information. err is the error of the last read.
 //
-// While the store does not answer anyone, the pause grows, since the calls of all instances are
-// paid for. An instance that only waited out its pause would notice the store's return seconds
-// later than a relay that already knows of it.
+// While the store answers nobody, the pause grows, since each call to the store costs money. An
+// instance that only waited for the end of its pause would notice seconds later than a relay that
+// the store is available again.
 func (c *Coordinator) awaitNextLeaseRead(ctx context.Context, pause time.Duration, err error) {
 	until := c.clock.Now().Add(pause)
 	for ctx.Err() == nil {
@@ -82,27 +82,27 @@
 			return
 		}
 		if c.clock.Now().Sub(begun) < minAskTime {
-			// No relay holds the question: none is known, or none replies.
+			// No relay delays its reply until it is current: none is known, or none replies.
 			sleep(ctx, min(left, pollInterval))
 		}
 	}
 }
 
 // reportTo sends one report to the instance at an address, and reports whether that instance leads.
-func (c *Coordinator) reportTo(ctx context.Context, address string, leaving bool) bool {
+func (c *Coordinator) reportTo(ctx context.Context, address string, shuttingDown bool) bool {
 	args := c.newSyncArgs()
-	args.Leaving = leaving
+	args.Leaving = shuttingDown
 	args.Work, args.Pace = c.collector.TakeMeasurements()
 	args.Members = c.downstreamMembers()
 	if c.isStoreRelay() || c.hasDownstreams() {
-		args.Wait = relaySyncHold
+		args.Wait = relayMaxReplyDelay
 	}
 	begun := c.clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	reply, err := c.peers.Sync(callCtx, address, args)
 	cancel()
 	if err == nil {
-		c.noteVacated(reply.Vacated, reply.VacatedHeld)
+		c.noteGivenUp(reply.Vacated, reply.VacatedHeld)
 	}
 	if err != nil || !reply.Leading {
 		c.noteLeaderLost(address, err)
@@ -139,7 +139,7 @@
 	args := &peerapi.SyncArgs{
 		StoreAnswers: answers,
 		Self:         c.config.Self, RulesVersion: snapshot.RulesVersion, TargetsDigest: snapshot.TargetsDigest,
-		InstancesVersion: snapshot.InstancesVersion, EvacuationsVersion: snapshot.Evacuations.Version, MapVersions: map[string]uint64{}, Wait: syncHold,
+		InstancesVersion: snapshot.InstancesVersion, EvacuationsVersion: snapshot.Evacuations.Version, MapVersions: map[string]uint64{}, Wait: maxReplyDelay,
 		LeavingTargets: c.leavingTargets(snapshot),
 		Quarantine:     c.quarantine.Unreported(), QuarantineVersion: c.quarantine.Version(),
 	}
@@ -152,7 +152,7 @@
 	return args
 }
 
-// leavingTargets returns the targets that have announced that they are leaving.
+// leavingTargets returns the targets that have reported that they are leaving.
 func (c *Coordinator) leavingTargets(s *view.Snapshot) []string {
 	return c.targetStatus.Leaving(func(id string) bool { _, listed := s.Targets[id]; return listed })
 }
@@ -177,7 +177,7 @@
 	c.lostLeader = ""
 }
 
-// setLeader notes the holder of the lease; the zero row if none is known. The caller holds the
+// setLeader notes the holder of the lease; the zero row if none is known. The caller must hold the
 // lock.
 func (c *Coordinator) setLeader(row lease.Row) {
 	c.leader = row
@@ -203,15 +203,16 @@
 	c.log("leader-lost", "address", address, "reason", reason, "lease", c.observer.Version())
 }
 
-// applyReply applies a reply of another instance. It reports whether the reply was at least as new
-// as this instance's snapshot.
+// applyReply adopts the data in a reply of another instance. It reports whether the reply was at
+// least as new as this instance's snapshot.
 func (c *Coordinator) applyReply(begun clock.Instant, args *peerapi.SyncArgs, reply *peerapi.SyncReply) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
 	c.observer.Observe(reply.Lease, false, now)
 	c.mu.Unlock()
-	// The confirmed state was read reply.Age before the reply was sent. The way back may have taken
-	// all of the time that was not spent holding the report.
+	// The state that the reply confirms was read reply.Age before the reply was sent. All of the
+	// time since the report was sent may have been spent on the way back, except for the delay of
+	// the reply.
 	travel := max(0, now.Sub(begun)-reply.Held)
 	at := now.Add(-reply.Age - travel)
 	if c.board.SetEvacuations(reply.EvacuationsVersion, reply.Evacuated) {
@@ -221,7 +222,7 @@
 	if err != nil {
 		c.log("rules-refused", "error", err.Error(), "from", fromLeader)
 	}
-	taken := c.applyTargets(reply, at) && err == nil
+	adopted := c.applyTargets(reply, at) && err == nil
 	for service, update := range reply.Maps {
 		c.applyMapUpdate(service, update)
 	}
@@ -229,7 +230,7 @@
 	c.quarantine.MarkReported(args.Quarantine)
 	c.quarantine.Adopt(reply.Quarantine, reply.QuarantineVersion)
 	c.history.record(c.board.Snapshot(), c.versionsToRecord())
-	return taken
+	return adopted
 }
 
 // versionsToRecord returns how many versions of the snapshot this instance records for replies.
@@ -240,8 +241,9 @@
 	return shortHistoryLength
 }
 
-// applyTargets applies the targets of a reply. It reports whether they were accepted: they are not
-// if the sender has read less of the registry than this instance.
+// applyTargets adopts the targets of a reply, and reports whether this instance has them now: it
+// does not if the sender's last read of the registry is older than its own, or if the reply
+// contains changes of a list other than its own.
 func (c *Coordinator) applyTargets(reply *peerapi.SyncReply, at clock.Instant) bool {
 	snapshot := c.board.Snapshot()
 	if reply.TargetsDigest == snapshot.TargetsDigest {
@@ -264,7 +266,7 @@
 	return c.board.SetLeaderTargets(reply.TargetsRead, list, reply.TargetsKept, at)
 }
 
-// applyInstances applies the list of instances if the reply has a newer one.
+// applyInstances adopts the list of instances if the reply has a newer one.
 func (c *Coordinator) applyInstances(args *peerapi.SyncArgs, reply *peerapi.SyncReply) {
 	if reply.InstancesVersion == (view.InstancesVersion{}) {
 		return
@@ -285,8 +287,8 @@
 	c.board.SetInstances(reply.InstancesVersion, list)
 }
 
-// applyMapUpdate applies a changed map of the leader. An update that does not apply to the map
-// known here is dropped: the map is read from the store, or sent as a whole in a later reply.
+// applyMapUpdate adopts a changed map of the leader. An update that does not apply to the map known
+// here is dropped: the map is read from the store, or sent as a whole in a later reply.
 func (c *Coordinator) applyMapUpdate(service string, update peerapi.MapUpdate) {
 	base := keyrange.Empty()
 	if update.From != 0 {
--- a/coordination/lead/full_state.go
+++ b/coordination/lead/full_state.go
@@ -26,7 +26,7 @@
 	Ranges  []keyrange.Range
 }
 
-// maxFullStateBytes bounds the unpacked size of a full state, in bytes. 10,000 targets, as many
+// maxFullStateBytes limits the unpacked size of a full state, in bytes. 10,000 targets, as many
 // ranges and 4,000 instances take 2 MB.
 const maxFullStateBytes = 16 << 20
 
--- a/coordination/lead/full_state_test.go
+++ b/coordination/lead/full_state_test.go
@@ -45,7 +45,7 @@
 	// Guards against 100 instances that start together waiting for their seed: the last one got its
 	// state 5 s after the first. Each was sent 720 targets, their ranges and 295 instances, 120 KB,
 	// over 20 Mbit/s, and the state was encoded again for each of them, with all names.
-	It("fits a small link, and is encoded once for all", func() {
+	It("fits the link of a small instance, and is encoded once for all", func() {
 		const (
 			starters = 100
 			// link is what a small instance can send in a second, in bytes.
--- a/coordination/lead/handover_test.go
+++ b/coordination/lead/handover_test.go
@@ -91,10 +91,10 @@
 
 	BeforeEach(func() { s = &memoryStore{rows: map[store.ID]store.Row{}} })
 
-	// Guards against a small instance that leads for good: with a sixth of a core it was the first
-	// to find the lease free after an outage, and had to reply to 88 others. A quarter of all
-	// requests were refused for 15 s, and changes of the configuration were known seconds late.
-	It("is handed over to a much larger instance as soon as that one reports", func() {
+	// Guards against a small instance that keeps the lease: with a sixth of a CPU core it was the
+	// first to find the lease free after an outage, and had to reply to 88 others. A quarter of all
+	// requests were refused for 15 s, and changes of the rules were known seconds late.
+	It("is given up to a much larger instance as soon as that one reports", func() {
 		small, large := newPair(0.16, 0.8, s)
 		start(small)
 		Eventually(small.Leading, "2s", "5ms").Should(BeTrue())
@@ -112,9 +112,9 @@
 		Consistently(small.Leading, "2s", "20ms").Should(BeTrue())
 	})
 
-	// Guards against handovers without end: a larger instance that reports but cannot write to the
-	// store must not leave all instances without a leader again and again.
-	It("is taken back, and kept, when the larger instance cannot take it", func() {
+	// Guards against a lease that is given up again and again: a larger instance that reports but
+	// cannot write to the store must not leave all instances without a leader each time.
+	It("is taken again, and kept, when the larger instance cannot take it", func() {
 		small, large := newPair(0.16, 0.8, readOnlyStore{s})
 		start(small)
 		Eventually(small.Leading, "2s", "5ms").Should(BeTrue())
--- a/coordination/lead/history.go
+++ b/coordination/lead/history.go
@@ -10,11 +10,11 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// historyLength is how many versions are recorded of what replies have contained. A follower
-// reports several times a second; one that is further behind gets the whole state.
+// historyLength is how many versions of the snapshot are recorded. A follower reports several times
+// a second; one that is further behind gets everything instead of the changes.
 const historyLength = 64
 
-// shortHistoryLength is how many versions an instance of a large fleet records that replies to no
+// shortHistoryLength is how many versions an instance of a large fleet records if it replies to no
 // others. If it leads next, it replies to a few relays, which are one or two changes behind. The
 // memory that versions take grows with the number of targets.
 const shortHistoryLength = 4
@@ -51,22 +51,22 @@
 
 // keepNewest returns at most the given number of elements from the end of a list, and drops the
 // others.
-func keepNewest[T any](list []T, most int) []T {
-	return slices.Delete(list, 0, max(0, len(list)-most))
+func keepNewest[T any](list []T, limit int) []T {
+	return slices.Delete(list, 0, max(0, len(list)-limit))
 }
 
 // record records a snapshot, and keeps at most the given number of versions.
-func (h *history) record(s *view.Snapshot, most int) {
+func (h *history) record(s *view.Snapshot, limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n := len(h.targets); n == 0 || h.targets[n-1].digest != s.TargetsDigest {
 		h.targets = append(h.targets, targetsEntry{s.TargetsDigest, s.Targets})
 	}
-	h.targets = keepNewest(h.targets, most)
+	h.targets = keepNewest(h.targets, limit)
 	if n := len(h.instances); n == 0 || h.instances[n-1].version != s.InstancesVersion {
 		h.instances = append(h.instances, instancesEntry{s.InstancesVersion, s.Instances})
 	}
-	h.instances = keepNewest(h.instances, most)
+	h.instances = keepNewest(h.instances, limit)
 	h.rules.record(s)
 	if h.maps == nil {
 		h.maps = map[string][]*keyrange.Map{}
@@ -76,7 +76,7 @@
 		if n := len(list); n == 0 || list[n-1].Version < m.Version {
 			list = append(list, m)
 		}
-		h.maps[service] = keepNewest(list, most)
+		h.maps[service] = keepNewest(list, limit)
 	}
 }
 
@@ -105,9 +105,9 @@
 	}
 }
 
-// addInstances adds the changes in the list of instances since a version to a reply. If each start
-// of an instance were answered with whole lists to all, the cost would grow with the square of
-// their number.
+// addInstances adds the changes in the list of instances since a version to a reply. If the whole
+// list were sent to all instances whenever one of them starts, the cost would grow with the square
+// of their number.
 func (h *history) addInstances(reply *peerapi.SyncReply, since view.InstancesVersion, s *view.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// mapUpdate returns the changes in a map since a version. Most followers ask from the same version,
-// so differences are cached.
+// mapUpdate returns the changes in a map since a version. Most followers have the same version, so
+// the changes are cached.
 func (h *history) mapUpdate(service string, since uint64, m *keyrange.Map) peerapi.MapUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coordination/lead/members.go
+++ b/coordination/lead/members.go
@@ -14,16 +14,18 @@
 // reports before it publishes a list of instances.
 const initialMembersWait = 300 * time.Millisecond
 
+// member is an instance that has reported in this term, or that was known when the term began.
 type member struct {
 	view.Instance
-	reportedAt clock.Instant
-	leaving    bool
-	// reported says that the instance has reported in this term, and is not only known from before.
+	reportedAt   clock.Instant
+	shuttingDown bool
+	// reported says that the instance has reported in this term; otherwise it is only known from
+	// before.
 	reported bool
 }
 
-// updateMembers removes instances that have left or stopped reporting, and publishes the list if it
-// has changed.
+// updateMembers removes instances that are shutting down or have stopped reporting, and publishes
+// the list if it has changed.
 func (t *term) updateMembers(now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,7 +35,7 @@
 	}
 	changed := t.memberListCount == 0 || t.membersJoined
 	for id, m := range t.members {
-		if now.Sub(m.reportedAt) > memberTimeout || m.leaving {
+		if now.Sub(m.reportedAt) > memberTimeout || m.shuttingDown {
 			delete(t.members, id)
 			t.c.log("instance-gone", "other", id)
 			changed = true
@@ -46,7 +48,7 @@
 	}
 }
 
-// publishMembers puts the list of instances into force. The caller holds the lock.
+// publishMembers publishes the list of instances. The caller must hold the lock.
 func (t *term) publishMembers() {
 	t.memberListCount++
 	list := make([]view.Instance, 0, len(t.members))
@@ -67,12 +69,12 @@
 }
 
 // noteMember notes that an instance reported at the given time.
-func (t *term) noteMember(i view.Instance, at clock.Instant, leaving bool) {
+func (t *term) noteMember(i view.Instance, at clock.Instant, shuttingDown bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.members[i.ID]
 	if m == nil {
-		if leaving {
+		if shuttingDown {
 			return
 		}
 		t.members[i.ID] = &member{Instance: i, reportedAt: at, reported: true}
@@ -81,5 +83,5 @@
 	}
 	m.reportedAt = m.reportedAt.Later(at)
 	m.reported = true
-	m.leaving = m.leaving || leaving
+	m.shuttingDown = m.shuttingDown || shuttingDown
 }
--- a/coordination/lead/outage.go
+++ b/coordination/lead/outage.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// errStoreAvailable cancels a call that began before another call showed that the store is back.
+// errStoreAvailable cancels a call that began before another call showed that the store is
+// available again.
 var errStoreAvailable = errors.New("lead: the store is available again; the call is repeated")
 
 // outage is a period in which the store does not answer this instance.
 //
 // A call that was sent during the outage is never answered, and a backoff pause that has grown
-// continues after the store is back. With only their own timeouts, such calls would delay changes
-// that the store has acknowledged since. So when the first call is answered, all pending calls and
-// pauses are cancelled and the calls are repeated.
+// continues after the store is available again. With only their own timeouts, such calls would
+// delay changes that the store has acknowledged since. So when the first call is answered, all
+// pending calls and pauses are cancelled and the calls are repeated.
 type outage struct {
-	// over is done when the store is back.
+	// over is done when the store is available again.
 	over context.Context
 	end  context.CancelFunc
 }
@@ -27,13 +28,13 @@
 }
 
 // minOutage is the shortest outage after which pending calls are repeated. It is longer than a feed
-// waits: where only single answers are lost, a pending feed is still answered.
+// waits: if only single responses are lost, the store still answers a pending feed.
 const minOutage = time.Second
 
 // endOutage cancels pending calls and pauses, unless the outage was shorter than minOutage. The
-// caller holds the lock.
+// caller must hold the lock.
 func (c *Coordinator) endOutage() {
-	if c.clock.Now().Sub(c.storeLostAt) < minOutage {
+	if c.clock.Now().Sub(c.storeUnavailableSince) < minOutage {
 		return
 	}
 	c.outage.end()
@@ -47,8 +48,9 @@
 	return c.outage
 }
 
-// untilStoreBack returns a context for a call that is cancelled when the store is back.
-func (c *Coordinator) untilStoreBack(ctx context.Context) (callCtx context.Context, done func()) {
+// untilStoreAvailable returns a context for a call that is cancelled when the store is available
+// again.
+func (c *Coordinator) untilStoreAvailable(ctx context.Context) (callCtx context.Context, done func()) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(c.currentOutage().over, func() { cancel(errStoreAvailable) })
 	return callCtx, func() {
@@ -57,13 +59,13 @@
 	}
 }
 
-// abandoned reports whether a call was cancelled because the store is back.
-func abandoned(callCtx context.Context, err error) bool {
+// cancelledAtOutageEnd reports whether a call was cancelled because the store is available again.
+func cancelledAtOutageEnd(callCtx context.Context, err error) bool {
 	return err != nil && errors.Is(context.Cause(callCtx), errStoreAvailable)
 }
 
-// pauseUntilStoreBack pauses after a call, but not beyond the end of an outage.
-func (c *Coordinator) pauseUntilStoreBack(ctx context.Context, d time.Duration) {
+// pauseUntilStoreAvailable pauses after a call, but not beyond the end of an outage.
+func (c *Coordinator) pauseUntilStoreAvailable(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/coordination/lead/poll.go
+++ b/coordination/lead/poll.go
@@ -12,8 +12,8 @@
 
 // shouldReadStore reports whether this instance has to read the store itself. The leader does, and
 // relays do while nobody leads. Any other instance with a stale snapshot asks relays first. It
-// reads if that does not help and the store answers or may be tried again: refused calls are paid
-// for too.
+// reads the store if that does not help, provided that the store answers or may be called again:
+// refused calls cost money too.
 func (c *Coordinator) shouldReadStore(ctx context.Context) bool {
 	relay := c.isStoreRelay()
 	now := c.clock.Now()
@@ -33,8 +33,8 @@
 }
 
 // mayCallStore reports whether the store answers this instance, or last failed at least pause ago.
-// An old failure proves nothing: a follower makes no calls to the store, and would not notice that
-// its leader has been cut off.
+// An old failure does not show whether the store answers now: a follower makes no calls to the
+// store, and must call it again when its leader has been cut off.
 func (c *Coordinator) mayCallStore(pause time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +42,7 @@
 }
 
 // storeRetryPause returns how long after a failed call this instance makes the next one. While
-// relays reply, the pause may be long: they notice when the store is back.
+// relays reply, the pause may be long: they notice when the store is available again.
 func (c *Coordinator) storeRetryPause() time.Duration {
 	pause := c.scaleToFleet(maxBackoff)
 	c.mu.Lock()
@@ -60,9 +60,9 @@
 		return false
 	}
 	if c.beginRefresh() {
-		helped := c.refreshFromRelays(ctx)
+		refreshed := c.refreshFromRelays(ctx)
 		c.mu.Lock()
-		c.refreshFailed = !helped
+		c.refreshFailed = !refreshed
 		c.mu.Unlock()
 	}
 	c.mu.Lock()
@@ -72,8 +72,8 @@
 
 // refreshFromRelays asks relays for a fresher snapshot, and reports whether this instance's
 // snapshot is not stale any more. Relays read the store a little earlier than others. Without them
-// all instances would read the whole configuration and registry while the store refuses the leader,
-// and again until another instance leads.
+// all instances would read all rules and the whole registry while the store refuses the leader, and
+// again until another instance leads.
 func (c *Coordinator) refreshFromRelays(ctx context.Context) bool {
 	relays := c.storeRelays()
 	if len(relays) == 0 {
@@ -95,11 +95,11 @@
 	return false
 }
 
-// refreshTimeout bounds the question to one relay. Three relays that do not answer leave 0.4 s for
-// a read before the snapshot is 2 s old.
+// refreshTimeout limits the wait for the reply of one relay. If three relays do not reply, 0.4 s
+// are left for a read before the snapshot is 2 s old.
 const refreshTimeout = 120 * time.Millisecond
 
-// errRefreshTimeout cancels a question to a relay that did not answer in time. The connection stays
+// errRefreshTimeout cancels a call to a relay that did not reply in time. The connection stays
 // open, because requests for permits use it too.
 var errRefreshTimeout = errors.New("lead: the relay did not reply within the refresh timeout")
 
@@ -124,14 +124,15 @@
 	return true
 }
 
-// pollRules keeps the configuration current while this instance has to read it.
+// pollRules keeps the rules and the evacuated data centres current while this instance has to read
+// them.
 func (c *Coordinator) pollRules(ctx context.Context) {
 	pause := newBackoff()
-	// wait is how long a read may wait for a change. The first read and the one after a change do
-	// not wait, so that they soon confirm the current state. The time at which a change ended a
-	// feed is not known, so its result counts as current only since the feed began. If the next
-	// feed waited too, the snapshot would become so old that all followers read the store
-	// themselves.
+	// wait is how long a read may wait for a change; a read that waits is a feed. The first read
+	// and the one after a change do not wait, so that they soon confirm the current state. The time
+	// at which a change ended a feed is not known, so its result counts as read when the feed
+	// began. If the next feed waited too, the snapshot would become so old that all followers read
+	// the store themselves.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		if !c.shouldReadStore(ctx) {
@@ -139,18 +140,18 @@
 			sleep(ctx, pollInterval/4)
 			continue
 		}
-		callCtx, done := c.untilStoreBack(ctx)
+		callCtx, done := c.untilStoreAvailable(ctx)
 		changed, err := c.reader.readRules(callCtx, wait)
 		done()
 		wait = rulesFeedWait
 		if err != nil || changed {
 			wait = 0
 		}
-		if abandoned(callCtx, err) {
+		if cancelledAtOutageEnd(callCtx, err) {
 			continue
 		}
 		c.noteStoreResult(ctx, err)
-		c.pauseUntilStoreBack(ctx, pause.after(err, 0))
+		c.pauseUntilStoreAvailable(ctx, pause.after(err, 0))
 	}
 }
 
@@ -162,22 +163,22 @@
 			sleep(ctx, pollInterval/4)
 			continue
 		}
-		callCtx, done := c.untilStoreBack(ctx)
+		callCtx, done := c.untilStoreAvailable(ctx)
 		limited, cancel := context.WithTimeout(callCtx, callTimeout)
 		err := c.reader.readTargets(limited)
 		cancel()
 		done()
-		if abandoned(callCtx, err) {
+		if cancelledAtOutageEnd(callCtx, err) {
 			continue
 		}
 		c.noteStoreResult(ctx, err)
-		c.pauseUntilStoreBack(ctx, pause.after(err, c.pollPause()))
+		c.pauseUntilStoreAvailable(ctx, pause.after(err, c.pollPause()))
 	}
 }
 
 // noteStoreResult records the result of a call to the store, and logs when the store becomes
-// unavailable and when it is back. A call that failed because ctx is done, when this instance ends,
-// says nothing about the store.
+// unavailable and when it is available again. A call that failed because ctx is done, when this
+// instance shuts down, says nothing about the store.
 func (c *Coordinator) noteStoreResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -193,7 +194,7 @@
 			c.endOutage()
 			c.log("store-back")
 		} else {
-			c.storeLostAt = c.clock.Now()
+			c.storeUnavailableSince = c.clock.Now()
 			c.log("store-lost", "error", err.Error())
 		}
 	}
--- a/coordination/lead/quarantine_test.go
+++ b/coordination/lead/quarantine_test.go
@@ -10,7 +10,8 @@
 )
 
 var _ = Describe("a request that crashes targets of different instances", func() {
-	// learnTime is the time after the last crash within which all instances must know of it.
+	// learnTime is the time after the last crash within which the request must be quarantined on
+	// all instances.
 	const learnTime = 3 * time.Second
 
 	id := quarantine.Identity{Fingerprint: 7, Caller: 1}
@@ -39,15 +40,15 @@
 		Eventually(func() int { return countQuarantined(g) }, learnTime, "20ms").Should(Equal(120))
 	})
 
-	// The same, while a tree relay through which one of the two reports is lost.
-	It("is known to all in time when a relay is lost", func() {
+	// The same, while a tree relay that forwards one of the two reports goes down.
+	It("is known to all in time when a relay goes down", func() {
 		g := newLargeFleet(120, 5)
 		g.start()
 		time.Sleep(300 * time.Millisecond)
 		g.coordinators[g.instances[118].Address].quarantine.RecordCrash(id, "t1")
 		g.coordinators[g.instances[119].Address].quarantine.RecordCrash(id, "t2")
-		lost := g.relaysOf("dc4")[0]
-		g.setFlags(g.down, true, lost)
+		down := g.relaysOf("dc4")[0]
+		g.setFlags(g.down, true, down)
 		Eventually(func() int { return countQuarantined(g) }, learnTime, "20ms").Should(BeNumerically(">=", 119))
 	})
 })
--- a/coordination/lead/reader.go
+++ b/coordination/lead/reader.go
@@ -15,8 +15,12 @@
 
 // Source describes the platform's tables in the store and decodes their rows.
 type Source struct {
-	RulesTable  string
-	IsRules     func(store.Row) bool
+	RulesTable string
+	// IsRules reports whether a row of RulesTable holds the rules. Any other row either evacuates a
+	// data centre or is ignored.
+	IsRules func(store.Row) bool
+	// DecodeRules decodes the value of such a row. The version is the one written in the value, not the
+	// store version of the row.
 	DecodeRules func(value []byte) (version uint64, set *rules.Set, err error)
 	// EvacuatedDataCentre returns the data centre that a row of RulesTable evacuates for as long as
 	// the row exists. Nil if no row does that.
@@ -26,11 +30,11 @@
 	DecodeTarget func(store.Row) (view.Target, error)
 }
 
-// callTimeout bounds a call to the store. A healthy store answers within 4 ms; a slow one takes
-// 60 times as long.
+// callTimeout limits a call to the store. A healthy store answers within 4 ms; a slow one takes 60
+// times as long.
 const callTimeout = 1200 * time.Millisecond
 
-// reader copies the configuration and the registry from the store into a Board.
+// reader copies the rules, the evacuated data centres and the registry from the store into a Board.
 type reader struct {
 	clock  clock.Clock
 	store  store.Store
@@ -38,34 +42,35 @@
 	board  *view.Board
 	log    Log
 
-	// targetsNext is the version from which the feed of the registry continues; 0 if the whole
-	// table must be read.
+	// targetsNext is the store version from which the next read of the registry continues; 0 if the
+	// whole table must be read.
 	targetsNext uint64
 	// targets are the registry's valid entries, by row key.
 	targets map[string]view.Target
-	// earlierStarts are entries that name an earlier start of a target than targets does, by row
-	// key.
+	// earlierStarts are entries with an earlier start time than the entry of the same row in
+	// targets, by row key.
 	earlierStarts map[string]earlierStart
-	// restoredAt is when the configuration was first read after the store was restored from a copy.
+	// restoredAt is when the rules were first read after the store was restored from a backup.
 	// Never if it was not restored, or so long ago that all lost rows have been written again.
 	restoredAt clock.Instant
 	// rejected are the keys of invalid entries that have been logged.
 	rejected map[string]bool
 }
 
-// earlierStart is an entry whose target was started before the one known by its name.
+// earlierStart is an entry whose start time is earlier than that of the known target of the same
+// name.
 type earlierStart struct {
 	target view.Target
 	since  clock.Instant
 }
 
 const (
-	// acceptEarlierStartAfter is how long an entry must name an earlier start before it is
-	// accepted. A write of a former process may take effect after the next process has registered;
-	// that one writes again within a heartbeat, 0.87 s. A process whose clock was set back keeps
-	// writing the earlier start.
+	// acceptEarlierStartAfter is how long a row must have an earlier start time before that entry
+	// is adopted. A write of a former process may take effect after the next process has
+	// registered; that one writes again within a heartbeat, 0.87 s. A process whose clock was set
+	// back keeps writing the earlier start time.
 	acceptEarlierStartAfter = 2 * time.Second
-	// maxRejectedLogged bounds the invalid entries that are logged.
+	// maxRejectedLogged limits how many invalid entries are logged.
 	maxRejectedLogged = 256
 )
 
@@ -73,11 +78,11 @@
 	return &reader{clock: c, store: s, source: source, board: board, log: log, targets: map[string]view.Target{}, earlierStarts: map[string]earlierStart{}, rejected: map[string]bool{}, restoredAt: clock.Never}
 }
 
-// readRules brings the configuration up to date, and waits up to wait for a change. It reports
-// whether there was one.
+// readRules brings the rules and the evacuated data centres up to date, and waits up to wait for a
+// change. It reports whether there was one.
 //
-// It continues from the version known to this instance, whether read here or received in a reply.
-// An instance that began with the whole table would read and decode again what it has just
+// It continues from the store version known to this instance, whether read here or received in a
+// reply. An instance that began with the whole table would read and decode again what it has just
 // received, at a time when it is busiest.
 func (r *reader) readRules(ctx context.Context, wait time.Duration) (changed bool, err error) {
 	begun := r.clock.Now()
@@ -94,6 +99,7 @@
 	}
 	switch {
 	case after != 0 && store.EraOf(next) > store.EraOf(after):
+		// The store has been restored from a backup.
 		r.log("store-returned", "era", store.EraOf(next), "version", store.CountOf(next), "before", store.CountOf(after))
 		r.restoredAt = begun
 	case graceOver:
@@ -145,7 +151,7 @@
 	}
 	set = set.ShareRulesWith(r.board.Snapshot().Rules)
 	adopted := r.board.SetRules(version, set, at)
-	recordRules(r.log, learntRules{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
+	recordRules(r.log, decodedRules{version, set, fromStore, len(row.Value), time.Since(begun)}, adopted, r.clock.Now().Sub(at))
 }
 
 // readTargets brings the registry up to date.
@@ -200,8 +206,8 @@
 // that still describe the same cold time: each is read up to a poll interval after it was written.
 const sameColdTimeTolerance = time.Second
 
-// withColdUntil sets when the cold time of an entry began, as a version, and when it ends, given
-// the previous entry of the same row.
+// withColdUntil sets when the cold time of an entry began, as a store version, and when it ends,
+// given the previous entry of the same row.
 func withColdUntil(before, t view.Target, version uint64, now clock.Instant) view.Target {
 	if t.Cold <= 0 {
 		return t
@@ -213,8 +219,8 @@
 	return t
 }
 
-// rejectTarget drops an invalid entry. What the row said before does not hold any more: a target
-// writes its entry again within a heartbeat.
+// rejectTarget drops an invalid entry. The entry that the row held before is not used any more
+// either: a target writes its entry again within a heartbeat.
 func (r *reader) rejectTarget(row store.Row, err error) {
 	delete(r.targets, row.Key)
 	if r.rejected[row.Key] || len(r.rejected) >= maxRejectedLogged {
@@ -224,11 +230,12 @@
 	r.log("target-refused", "error", err.Error(), "row", row.Version)
 }
 
-// acceptEarlierStarts accepts earlier starts that entries have named for long enough.
+// acceptEarlierStarts adopts entries with an earlier start time that have been in the registry for
+// long enough.
 func (r *reader) acceptEarlierStarts(now clock.Instant) {
-	for key, o := range r.earlierStarts {
-		if now.Sub(o.since) >= acceptEarlierStartAfter {
-			r.targets[key] = o.target
+	for key, entry := range r.earlierStarts {
+		if now.Sub(entry.since) >= acceptEarlierStartAfter {
+			r.targets[key] = entry.target
 			delete(r.earlierStarts, key)
 		}
 	}
--- a/coordination/lead/reader_test.go
+++ b/coordination/lead/reader_test.go
@@ -107,7 +107,7 @@
 		Expect(knownIDs()).To(ConsistOf("x@1000", "y@1000"))
 	})
 
-	// Guards against taking a target that holds no keys for their owner: it crashed and started
+	// Guards against mistaking a target that holds no keys for their owner: it crashed and started
 	// again under the same name between two reads, and only its name was compared.
 	It("recognizes a restarted target by its start time alone", func() {
 		s.put("x", "a1 2000")
@@ -116,9 +116,9 @@
 	})
 
 	// Guards against moving all keys of a target twice: a write of its former process takes effect
-	// after that of the new one, which writes again within a heartbeat. Each entry was accepted at
+	// after that of the new one, which writes again within a heartbeat. Each entry was adopted at
 	// once.
-	It("does not accept an earlier start at once", func() {
+	It("does not adopt an earlier start time at once", func() {
 		s.put("x", "a1 2000")
 		read(400 * time.Millisecond)
 		s.put("x", "a1 1000")
@@ -133,8 +133,8 @@
 	})
 
 	// Guards against a target that never gets requests again: its clock was set back before it
-	// started again, and entries with an earlier start were ignored for ever.
-	It("accepts an earlier start that entries keep naming", func() {
+	// started again, and entries with an earlier start time were always ignored.
+	It("adopts an earlier start time that entries keep stating", func() {
 		s.put("x", "a1 500")
 		read(4 * time.Second)
 		Expect(knownIDs()).To(ConsistOf("x@500", "y@1000"))
@@ -156,7 +156,7 @@
 		Expect(knownIDs()).To(ConsistOf("x@1000", "y@1000"))
 	})
 
-	It("logs a bounded number of invalid entries", func() {
+	It("logs a limited number of invalid entries", func() {
 		for i := range 2 * maxRejectedLogged {
 			s.put(fmt.Sprintf("foreign-%d", i), "?")
 		}
@@ -169,17 +169,17 @@
 // bidStore accepts one transaction and records it.
 type bidStore struct {
 	unavailableStore
-	taken store.Txn
+	committed store.Txn
 }
 
 func (s *bidStore) Commit(_ context.Context, txn store.Txn) (uint64, error) {
-	s.taken = txn
+	s.committed = txn
 	return 20, nil
 }
 
 var _ = Describe("an instance that becomes leader", func() {
 	// Guards against a target that accepts keys under a fence that its former process had. The
-	// leader and a target end at the same time, and the target starts again under its name. The
+	// leader and a target exit at the same time, and the target starts again under its name. The
 	// next leader renews what the map says, and has no earlier connection that would show which
 	// process answers.
 	It("raises all fences in the transaction that takes the lease", func() {
@@ -189,14 +189,14 @@
 		e.Move(0, keyrange.MaxKey, "x@1", false)
 		e.FinishMove(0, 999)
 		m := e.Map()
-		t := c.bid(context.Background(), &stored{
+		t := c.bid(context.Background(), &storedRows{
 			lease: lease.Row{Holder: "i0", Term: 1}, leaseVersion: 9,
 			maps: map[string]*keyrange.Map{"s": m}, mapVersions: map[string]uint64{"s": 7},
 		})
 		Expect(t).NotTo(BeNil())
-		Expect(s.taken.Expect).To(HaveLen(3))
-		Expect(s.taken.Expect[2]).To(Equal(store.Expect{ID: eraRow(1)}))
-		Expect(s.taken.Expect[1].Version).To(Equal(uint64(7)))
+		Expect(s.committed.Expect).To(HaveLen(3))
+		Expect(s.committed.Expect[2]).To(Equal(store.Expect{ID: eraRow(1)}))
+		Expect(s.committed.Expect[1].Version).To(Equal(uint64(7)))
 		Expect(t.stored.mapVersions).To(HaveKeyWithValue("s", uint64(20)))
 		raised := c.board.Snapshot().Maps["s"]
 		Expect(raised.Find(0).Fence).To(BeNumerically(">", m.Version))
--- a/coordination/lead/relay.go
+++ b/coordination/lead/relay.go
@@ -16,8 +16,8 @@
 )
 
 // While there is no leader, a few instances, the store relays, read the store and the lease, and
-// the other instances ask them. Calls to the store are paid for, and without relays all instances
-// would make them at the same time.
+// the other instances ask them. Each call to the store costs money, and without relays all
+// instances would make their calls at the same time.
 //
 // Relays decide nothing. Their replies carry the age of the information, and an instance that gets
 // no current reply reads the store itself.
@@ -25,25 +25,29 @@
 	// storeRelayCount is the number of store relays. If one of three is cut off, or was killed
 	// together with the leader, two are left.
 	storeRelayCount = 3
-	// relayDuty names the duty in the ranking of instances.
+	// relayDuty is the name of this duty in the ranking of instances.
 	relayDuty = "relay"
-	// maxRelayAge is the age of a relay's knowledge of the lease from which on it does not
-	// vouch for its information: it may be cut off itself.
+	// maxRelayAge is the age of a relay's information about the lease from which on it does not
+	// reply with its snapshot: it may be cut off itself.
 	maxRelayAge = time.Second
-	// relaySettleTime is how long a relay must have run before it reports targets as gone. It may
-	// have started while the registry did not list some targets that are still running.
+	// relaySettleTime is how long a relay must have run before its replies may remove targets from
+	// the snapshots of others. It may have started while the registry did not list some targets
+	// that are still running.
 	relaySettleTime = 2500 * time.Millisecond
 	// unresponsiveFor is how long a relay that did not reply is not asked again.
 	unresponsiveFor = 2 * time.Second
-	// maxRelaysAsked bounds the relays that an instance asks in a row before it reads the lease
+	// maxRelaysAsked limits how many relays an instance asks in a row before it reads the lease
 	// itself.
 	maxRelaysAsked = 2
 	// minAskTime is the remaining time until the next read of the lease below which an instance
-	// does not ask relays any more. A relay that replies in less time does not hold questions.
+	// does not ask relays any more. A relay that replies in less time does not wait until it is
+	// current.
 	minAskTime = 100 * time.Millisecond
 )
 
-// duties lists which of the known instances have which duty, by address.
+// duties lists which of the known instances have which duty, by address. A duty is work that an
+// instance does for others: here, reading the store for them, or replying to them in place of the
+// leader.
 type duties struct {
 	version    view.InstancesVersion
 	lostLeader string
@@ -83,8 +87,8 @@
 }
 
 // rankInstances returns the addresses of the first instances in the ranking for a duty. Instances
-// with more than half of the largest core share rank before the others; within each group the order
-// is that of rendezvous hashing.
+// with more than half of the largest weight, the processor capacity in cores, rank before the
+// others; within each group the order is that of rendezvous hashing.
 func rankInstances(list []view.Instance, duty string, count int) []string {
 	type ranked struct {
 		address string
@@ -121,23 +125,23 @@
 }
 
 // askRelays asks store relays who leads and what has changed. It reports whether one replied with
-// current information; otherwise this instance must read the lease itself. With await a relay may
-// hold the question until its information is current.
+// current information; otherwise this instance must read the lease itself. With await, a relay may
+// delay its reply until its information is current.
 func (c *Coordinator) askRelays(ctx context.Context, await bool) bool {
 	relays := c.storeRelays()
 	if len(relays) == 0 || slices.Contains(relays, c.config.Self.Address) || c.board.CurrentAsOf() == clock.Never {
 		// An instance that has just started reads the store itself: after a power failure the seeds
-		// may be the last to return, and callers would wait for them.
+		// may be the last to start, and callers would wait for them.
 		return false
 	}
 	first := int(xxhash.Sum64String(c.config.Self.ID) % uint64(len(relays)))
-	tries := 0
+	attempts := 0
 	for i := range relays {
 		address := relays[(first+i)%len(relays)]
-		if tries == maxRelaysAsked || !c.isResponsive(address) {
+		if attempts == maxRelaysAsked || !c.isResponsive(address) {
 			continue
 		}
-		tries++
+		attempts++
 		if c.askRelay(ctx, address, await) {
 			return true
 		}
@@ -153,7 +157,7 @@
 	return !failed || c.clock.Now().Sub(at) >= unresponsiveFor
 }
 
-// askRelay asks one relay.
+// askRelay asks one relay, and reports whether it replied with current information.
 func (c *Coordinator) askRelay(ctx context.Context, address string, await bool) bool {
 	args := c.newSyncArgs()
 	args.AwaitCurrent = await
@@ -168,15 +172,15 @@
 		c.noteUnresponsive(address, err)
 		return false
 	}
-	c.noteVacated(reply.Vacated, reply.VacatedHeld)
+	c.noteGivenUp(reply.Vacated, reply.VacatedHeld)
 	if !reply.Leading && !reply.Current {
 		return false
 	}
-	taken := c.applyReply(begun, args, reply)
+	adopted := c.applyReply(begun, args, reply)
 	c.mu.Lock()
 	c.setLeader(reply.Leader)
 	c.mu.Unlock()
-	if !taken {
+	if !adopted {
 		sleep(ctx, pollInterval/4)
 	}
 	return true
@@ -184,7 +188,7 @@
 
 // askSeeds asks the seeds for anything they know, when this instance has no snapshot and cannot
 // read the store. Without it a process that starts while the store is unavailable would serve
-// nobody until the store is back, although all other instances know enough.
+// nobody until the store is available again, although the other instances have the data.
 func (c *Coordinator) askSeeds(ctx context.Context) {
 	for _, address := range c.config.Seeds {
 		if c.board.CurrentAsOf() != clock.Never {
@@ -193,7 +197,7 @@
 		if address == c.config.Self.Address || !c.isResponsive(address) {
 			continue
 		}
-		if err := c.fetchFullState(ctx, address, 0); err != nil && !errors.Is(err, errKnowsNothing) {
+		if err := c.fetchFullState(ctx, address, 0); err != nil && !errors.Is(err, errNoState) {
 			c.noteUnresponsive(address, err)
 		}
 	}
@@ -208,7 +212,7 @@
 	c.log("relay-silent", "address", address, "error", err.Error())
 }
 
-// replyAsRelay replies to a question while this instance does not lead. It waits until there is
+// replyAsRelay replies to a report while this instance does not lead. It waits until there is
 // something new: a leader other than the lost one, or an update for the sender.
 func (c *Coordinator) replyAsRelay(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
 	begun := c.clock.Now()
@@ -246,7 +250,7 @@
 	return reply
 }
 
-// isCurrentFor reports whether this instance may reply as a relay to the sender of a question.
+// isCurrentFor reports whether this instance may reply as a relay to the sender of a report.
 func (c *Coordinator) isCurrentFor(args *peerapi.SyncArgs) bool {
 	now := c.clock.Now()
 	if c.board.CurrentAsOf() == clock.Never {
@@ -254,32 +258,32 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving || args.TargetsDigest != 0 && now.Sub(c.startedAt) < relaySettleTime {
+	if c.shuttingDown || args.TargetsDigest != 0 && now.Sub(c.startedAt) < relaySettleTime {
 		return false
 	}
 	follows := c.lastSync != clock.Never && now.Sub(c.lastSync) < maxRelayAge
-	looked := c.leaseReadAt != clock.Never && now.Sub(c.leaseReadAt) < maxRelayAge
-	return follows || looked
+	readLease := c.leaseReadAt != clock.Never && now.Sub(c.leaseReadAt) < maxRelayAge
+	return follows || readLease
 }
 
-// awaitCurrent reports whether this instance may reply as a relay to the sender of a question. If
-// the sender asks for it, because no other instance replies to it, awaitCurrent waits until that is
-// so or the question's wait is over: a relay is the first to notice when the store answers again.
+// awaitCurrent reports whether this instance may reply as a relay to the sender of a report. If the
+// sender asks for it, because no other instance replies to it, awaitCurrent waits until that is so
+// or the report's wait is over: a relay is the first to notice that the store is available again.
 func (c *Coordinator) awaitCurrent(ctx context.Context, args *peerapi.SyncArgs) bool {
-	timer := time.NewTimer(min(args.Wait, syncHold))
+	timer := time.NewTimer(min(args.Wait, maxReplyDelay))
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
-		heard, leaving := c.becameCurrent, c.leaving
+		becameCurrent, shuttingDown := c.becameCurrent, c.shuttingDown
 		c.mu.Unlock()
 		if c.isCurrentFor(args) {
 			return true
 		}
-		if !args.AwaitCurrent || leaving || !c.isStoreRelay() {
+		if !args.AwaitCurrent || shuttingDown || !c.isStoreRelay() {
 			return false
 		}
 		select {
-		case <-heard:
+		case <-becameCurrent:
 		case <-timer.C:
 			return false
 		case <-ctx.Done():
@@ -288,10 +292,10 @@
 	}
 }
 
-// awaitLeaderOrUpdate waits until there is an update for the sender of a question, or its wait is
-// over.
+// awaitLeaderOrUpdate waits until there is an update for the sender of a report, until a leader
+// other than the one that the sender has lost is known, or until the report's wait is over.
 func (c *Coordinator) awaitLeaderOrUpdate(ctx context.Context, args *peerapi.SyncArgs) {
-	timer := time.NewTimer(min(args.Wait, syncHold))
+	timer := time.NewTimer(min(args.Wait, maxReplyDelay))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Snapshot()
--- a/coordination/lead/relay_test.go
+++ b/coordination/lead/relay_test.go
@@ -90,7 +90,7 @@
 	return list, all, s
 }
 
-var _ = Describe("the lease of a process that has ended", func() {
+var _ = Describe("the lease of a process that has exited", func() {
 	take := func(holder, address string) *term {
 		s := &leaseStore{row: lease.Row{Holder: holder, Address: address, Term: 3}, version: 9}
 		c := New(Config{Self: view.Instance{ID: "i1.2", Address: "a1", Weight: 1}}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, demand.NewCollector(), discardLog)
@@ -112,9 +112,9 @@
 })
 
 var _ = Describe("an instance that starts while the store is unavailable", func() {
-	// Guards against an instance that serves nobody until the store is back. The leader is killed
-	// and starts again; the others know rules and targets, but none of them leads. Only a leader,
-	// or a relay that had read the lease recently, replied to it.
+	// Guards against an instance that serves nobody until the store is available again. The leader
+	// is killed and starts again; the others know rules and targets, but none of them leads. Only a
+	// leader, or a relay that had read the lease recently, replied to it.
 	It("gets the state of any other instance, with its age", func() {
 		_, all, s := newFleet(3)
 		known := all["a00"].board.CurrentAsOf()
@@ -199,7 +199,7 @@
 		Expect(s.calls.Load()).To(BeZero())
 	})
 
-	It("do not vouch for what they know when they have not read the lease recently", func() {
+	It("do not reply with what they know when they have not read the lease recently", func() {
 		list, all, _ := newFleet(20)
 		for _, c := range all {
 			if !c.isStoreRelay() {
@@ -210,8 +210,8 @@
 		Expect(all[list[0].Address].Leader().Address).To(BeEmpty())
 	})
 
-	// Guards against instances that keep asking a leader that is gone and never learn of the next
-	// one, because the relay has not noticed the loss yet and names the same leader.
+	// Guards against instances that keep asking a leader that has exited and never learn of the
+	// next one, because the relay has not noticed yet and replies with the same leader.
 	It("wait for a leader other than the lost one", func() {
 		list, all, _ := newFleet(20)
 		relay := all[rankStoreRelays(list, "")[0]]
@@ -232,9 +232,10 @@
 		Expect(reply.Leader.Holder).To(Equal("next"))
 	})
 
-	// Guards against live targets that get no requests: the registry does not list them while the
-	// store comes back, and an instance that has just started reads it and replies to others.
-	It("do not report targets as gone right after their own start", func() {
+	// Guards against live targets that get no requests: the registry does not list them yet when
+	// the store is available again, and an instance that has just started reads it and replies to
+	// others.
+	It("do not remove targets from the snapshots of others right after their own start", func() {
 		list, all, _ := newFleet(20)
 		relay := all[rankStoreRelays(list, "")[0]]
 		relay.leaseReadAt = relay.clock.Now()
@@ -245,12 +246,12 @@
 })
 
 var _ = Describe("instances that wait for the store", func() {
-	// Guards against requests decided by the former configuration 3.1 s after the store was back
-	// and had acknowledged a new one. The store did not answer for 8 s. Each instance read the
-	// lease again after pauses of up to 2 s, and a read that began before the store was back timed
-	// out only after another 1.2 s. Relays noticed at once, but replied at once that they had no
-	// current information, and the instance that had asked then slept until its own next read.
-	It("hear from a relay at once when it is back", func() {
+	// Guards against requests decided by the former rules 3.1 s after the store was available again
+	// and had acknowledged new ones. The store did not answer for 8 s. Each instance read the lease
+	// again after pauses of up to 2 s, and a read that began before the store was available again
+	// timed out only after another 1.2 s. Relays noticed at once, but replied at once that they had
+	// no current information, and the instance that had asked then slept until its own next read.
+	It("hear from a relay at once when it is available again", func() {
 		list, all, _ := newFleet(60)
 		relays := rankStoreRelays(list, "")
 		ctx, cancel := context.WithCancel(context.Background())
--- a/coordination/lead/restore.go
+++ b/coordination/lead/restore.go
@@ -11,11 +11,11 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// The store may be restored from a copy that is some seconds old; this begins a new era. Operators
-// and targets write again what they have written since the copy. Nobody else writes the lease and
-// the maps again. After a restore these rules hold:
+// The store may be restored from a backup that is some seconds old; this begins a new era.
+// Operators and targets write again what they have written since the backup. Nobody else writes the
+// lease and the maps again. After a restore these rules hold:
 //
-//   - The lease row names the holder at the time of the copy. Another instance may have taken the
+//   - The lease row names the holder at the time of the backup. Another instance may have taken the
 //     lease since and still lead, so a row of a former era never frees the lease. Only a whole
 //     lease duration without a change does, counted from when the row was first seen in the new
 //     era.
@@ -39,14 +39,15 @@
 	txn.Expect = append(txn.Expect, store.Expect{ID: eraRow(era + 1)})
 }
 
-// addEraRow adds the row of an era to a transaction, so that changes of the former era fail after it.
+// addEraRow adds the row of an era to a transaction, so that changes of the former era fail after
+// it.
 func addEraRow(txn *store.Txn, era uint64) {
 	txn.Writes = append(txn.Writes, store.Write{ID: eraRow(era), Value: []byte("{}")})
 }
 
 // ofCurrentEra reports whether the lease row belongs to the store's current era, or nobody is known
 // to have ever held the lease.
-func (s *stored) ofCurrentEra() bool {
+func (s *storedRows) ofCurrentEra() bool {
 	if s.lease.Term == 0 {
 		return !s.knewHolder
 	}
@@ -54,7 +55,7 @@
 }
 
 // minCount returns the value above which new terms and fences must be.
-func (s *stored) minCount() uint64 {
+func (s *storedRows) minCount() uint64 {
 	if s.ofCurrentEra() {
 		return 0
 	}
@@ -62,11 +63,11 @@
 }
 
 // nextTerm returns the term of the next holder of the lease.
-func (s *stored) nextTerm() uint64 { return max(s.lease.Term, s.minCount()) + 1 }
+func (s *storedRows) nextTerm() uint64 { return max(s.lease.Term, s.minCount()) + 1 }
 
-// priorTerm is what the leader of the time knew when the store was restored from a copy. The zero
-// value knows nothing.
-type priorTerm struct {
+// formerTerm is what this instance knew when the store was restored from a backup while it led. The
+// zero value means that it did not lead, or has led again since.
+type formerTerm struct {
 	// leaseUntil is when its lease expires.
 	leaseUntil clock.Instant
 	maps       map[string]*keyrange.Map
@@ -77,7 +78,7 @@
 }
 
 // stillExclusive reports whether no other instance can have taken the lease yet.
-func (p *priorTerm) stillExclusive(now clock.Instant) bool {
+func (p *formerTerm) stillExclusive(now clock.Instant) bool {
 	return p.maps != nil && now < p.leaseUntil
 }
 
@@ -86,28 +87,28 @@
 func (c *Coordinator) mayResumeLeading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.leaving && c.priorTerm.stillExclusive(c.clock.Now())
+	return !c.shuttingDown && c.formerTerm.stillExclusive(c.clock.Now())
 }
 
 // endAfterRestore ends a leadership of which the store has lost some writes, and records what this
 // instance knows of it. It runs in the term's loop.
 func (t *term) endAfterRestore(now clock.Instant) {
-	prior := priorTerm{maps: maps.Clone(t.stored.maps), grantsUntil: t.grantsUntil(now)}
+	former := formerTerm{maps: maps.Clone(t.stored.maps), grantsUntil: t.grantsUntil(now)}
 	for service, m := range t.managers {
-		prior.maps[service] = m.Map()
+		former.maps[service] = m.Map()
 	}
 	t.mu.Lock()
-	prior.leaseUntil = t.holder.Until()
+	former.leaseUntil = t.holder.Until()
 	t.mu.Unlock()
 	t.c.mu.Lock()
-	t.c.priorTerm = prior
+	t.c.formerTerm = former
 	t.c.mu.Unlock()
-	t.c.log("lease-returned", "term", t.stored.lease.Term, "left_ms", prior.leaseUntil.Sub(now).Milliseconds())
+	t.c.log("lease-returned", "term", t.stored.lease.Term, "left_ms", former.leaseUntil.Sub(now).Milliseconds())
 	t.ended = true
 	t.stopOnce.Do(func() { close(t.stop) })
 }
 
-// storeRestored reports whether the store has been restored from a copy since this leadership
+// storeRestored reports whether the store has been restored from a backup since this leadership
 // began, as far as this instance has read.
 func (t *term) storeRestored() bool {
 	board := t.c.board
@@ -116,22 +117,22 @@
 
 // knowsCurrentOwners reports whether this instance may lead after a restore in place of the former
 // leader, which knows the newest maps. It may if it has led or a leader has replied to it, so that
-// it knows the owners, or if all grants have expired. The caller holds the lock.
+// it knows the owners, or if all grants have expired. The caller must hold the lock.
 func (c *Coordinator) knowsCurrentOwners(now clock.Instant) bool {
 	return c.heardFromLeader || c.observer.UnchangedFor(now) >= assign.GrantLifetime(c.config.HoldMax)
 }
 
 // useNewestMaps replaces maps of the restored store by newer ones that this instance knows.
-func (c *Coordinator) useNewestMaps(s *stored) {
+func (c *Coordinator) useNewestMaps(s *storedRows) {
 	newest := maps.Clone(c.board.Snapshot().Maps)
 	c.mu.Lock()
-	if c.priorTerm.stillExclusive(c.clock.Now()) {
-		maps.Copy(newest, c.priorTerm.maps)
-		c.priorTerm.nextTerm = s.nextTerm()
+	if c.formerTerm.stillExclusive(c.clock.Now()) {
+		maps.Copy(newest, c.formerTerm.maps)
+		c.formerTerm.nextTerm = s.nextTerm()
 	}
 	c.mu.Unlock()
 	for service, m := range newest {
-		if back := s.maps[service]; back == nil || back.Version < m.Version {
+		if restored := s.maps[service]; restored == nil || restored.Version < m.Version {
 			s.maps[service] = m
 		}
 	}
--- a/coordination/lead/restore_test.go
+++ b/coordination/lead/restore_test.go
@@ -17,7 +17,7 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-var _ = Describe("a store that was restored from a copy", func() {
+var _ = Describe("a store that was restored from a backup", func() {
 	var (
 		now *manualClock
 		s   *memoryStore
@@ -85,10 +85,10 @@
 		Entry("taken for the first time since", lease.Row{}),
 	)
 
-	It("lets the former leader resume with its own maps and higher fences (guards against former owners)", func() {
+	It("lets the former leader resume with its own maps and higher fences (guards against keys that go back to former owners)", func() {
 		row := lease.Row{Holder: "i1.2", Address: "a1", Term: 7, Era: 1}
 		newest := mapOf("y", 8)
-		t := c.beginTerm(&stored{era: 1, lease: row, leaseVersion: store.VersionOf(1, 9), maps: map[string]*keyrange.Map{"s": newest}}, now.now)
+		t := c.beginTerm(&storedRows{era: 1, lease: row, leaseVersion: store.VersionOf(1, 9), maps: map[string]*keyrange.Map{"s": newest}}, now.now)
 		c.board.SetTargets(store.VersionOf(2, 5), makeTargets("y"), now.now)
 		t.tick(context.Background())
 		Expect(t.ended).To(BeTrue())
@@ -105,7 +105,7 @@
 
 	It("does not let a former leader resume after its lease has expired (guards against two leaders)", func() {
 		row := lease.Row{Holder: "i1.2", Address: "a1", Term: 7, Era: 1}
-		t := c.beginTerm(&stored{era: 1, lease: row, maps: map[string]*keyrange.Map{"s": mapOf("y", 8)}}, now.now)
+		t := c.beginTerm(&storedRows{era: 1, lease: row, maps: map[string]*keyrange.Map{"s": mapOf("y", 8)}}, now.now)
 		t.endAfterRestore(now.now)
 		c.term = nil
 		now.now = now.now.Add(lease.Duration)
@@ -134,7 +134,7 @@
 
 	It("refuses changes of a former era (guards against a condition that holds by chance)", func() {
 		row := lease.Row{Holder: "i2.1", Address: "a2", Term: 3, Era: 1}
-		late := &term{stored: &stored{era: 1, lease: row, leaseVersion: store.VersionOf(2, 4)}}
+		late := &term{stored: &storedRows{era: 1, lease: row, leaseVersion: store.VersionOf(2, 4)}}
 		restoreStore(2, row, mapOf("x", 3))
 		txn, err := late.newTxn(nil, row)
 		Expect(err).NotTo(HaveOccurred())
--- a/coordination/lead/rules.go
+++ b/coordination/lead/rules.go
@@ -72,8 +72,8 @@
 	return h.rules.addChanges(reply, since)
 }
 
-// applyRules applies the rules of a reply. After an error, nothing was applied, and the next report
-// asks for all rules.
+// applyRules adopts the rules of a reply. After an error, the rules are unchanged, and the next
+// report asks for all rules.
 func (c *Coordinator) applyRules(reply *peerapi.SyncReply, at clock.Instant) error {
 	err := c.applyRulesChanges(reply, at)
 	c.mu.Lock()
@@ -97,7 +97,7 @@
 		former = nil
 	case s.RulesVersion:
 	default:
-		// Another version was read here since the report; the next report names it.
+		// Another version was read here since the report; the next report contains its number.
 		return nil
 	}
 	changes, err := rules.DecodeChanges(reply.RulesChanges)
@@ -109,7 +109,7 @@
 		return err
 	}
 	adopted := c.board.SetRules(reply.RulesVersion, set, at)
-	recordRules(c.log, learntRules{reply.RulesVersion, set, fromLeader, len(reply.RulesChanges), time.Since(begun)}, adopted, c.clock.Now().Sub(at))
+	recordRules(c.log, decodedRules{reply.RulesVersion, set, fromLeader, len(reply.RulesChanges), time.Since(begun)}, adopted, c.clock.Now().Sub(at))
 	return nil
 }
 
@@ -119,8 +119,8 @@
 	fromLeader = "leader"
 )
 
-// learntRules is a version of the rules, with its source and the cost of decoding it.
-type learntRules struct {
+// decodedRules is a version of the rules, with its source and the cost of decoding it.
+type decodedRules struct {
 	version uint64
 	set     *rules.Set
 	from    string
@@ -130,7 +130,7 @@
 
 // recordRules reports a decoded version of the rules in metrics and in the log, also if it was
 // already in force: an instance that decodes each version twice is late with both.
-func recordRules(log Log, n learntRules, adopted bool, age time.Duration) {
+func recordRules(log Log, n decodedRules, adopted bool, age time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_rules_decoded_total{from=%q,adopted="%t"}`, n.from, adopted)).Inc()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_rules_bytes_total{from=%q}`, n.from)).Add(n.bytes)
 	metrics.GetOrCreateHistogram("lycheehall_rules_decode_seconds").Update(n.took.Seconds())
@@ -144,13 +144,13 @@
 	}
 }
 
-// maxLoggedWarnings bounds the log lines about one version of the rules.
+// maxLoggedWarnings limits the log lines about one version of the rules.
 const maxLoggedWarnings = 8
 
 var rulesNotUnderstood = metrics.GetOrCreateGauge("lycheehall_rules_not_understood", nil)
 
-// recordWarnings logs the rules that were not understood. Callers whose requests they decide only
-// see refusals.
+// recordWarnings logs the rules that were not understood. The callers of requests that such rules
+// decide only see refusals.
 func recordWarnings(log Log, version uint64, set *rules.Set) {
 	notes := set.Warnings()
 	rulesNotUnderstood.Set(float64(len(notes)))
--- a/coordination/lead/rules_test.go
+++ b/coordination/lead/rules_test.go
@@ -20,14 +20,14 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// writtenRules is the stored form of a configuration in these tests.
+// writtenRules is the stored form of the rules in these tests.
 type writtenRules struct {
 	Version uint64
 	Weight  int
 	Rules   []rules.Rule
 }
 
-// rulesStore holds a configuration, and counts scans and decodings.
+// rulesStore holds rules, and counts scans and decodings.
 type rulesStore struct {
 	tableStore
 	scans, decodes int
@@ -58,8 +58,8 @@
 	}
 }
 
-// write stores a configuration with the given number of rules after the first; weight is a weight
-// in the first rule.
+// write stores a version of the rules with the given number of rules after the first; weight is a
+// weight in the first rule.
 func (s *rulesStore) write(version uint64, count, weight int) {
 	GinkgoHelper()
 	w := writtenRules{Version: version, Rules: []rules.Rule{{
@@ -88,7 +88,7 @@
 	return b.Len()
 }
 
-var _ = Describe("a large configuration", func() {
+var _ = Describe("a large set of rules", func() {
 	const count = 4200
 	var (
 		s                *rulesStore
@@ -113,9 +113,9 @@
 		syncOnce(leader, follower)
 	})
 
-	// Guards against sending the whole configuration for each change. When one of 4,200 routes
-	// changed, all instances received all of them: the leader of 61 instances sent 30 MB for two
-	// changes, and small links got the change 2.9 s late.
+	// Guards against sending all rules for each change. When one of 4,200 routes changed, all
+	// instances received all of them: the leader of 61 instances sent 30 MB for two changes, and
+	// instances with small links got the change 2.9 s late.
 	It("is sent as the changes since the follower's version", func() {
 		s.write(2, count, 60)
 		read(leader)
@@ -124,10 +124,10 @@
 		Expect(weight(follower)).To(Equal(60))
 	})
 
-	// Guards against reads of the store by all small instances whenever the configuration changes.
-	// A follower is busy decoding a version that it has received; its snapshot becomes older than
-	// 1.2 s; it reads the store. That read started with the whole table and decoded the version in
-	// force again, which delayed the change even more.
+	// Guards against reads of the store by all small instances whenever the rules change. A
+	// follower is busy decoding a version that it has received; its snapshot becomes older than 1.2
+	// s; it reads the store. That read was one of the whole table and decoded the current version
+	// again, which delayed the change even more.
 	It("is not read again by an instance that has received it", func() {
 		decodes, scans := s.decodes, s.scans
 		read(follower)
@@ -160,11 +160,11 @@
 	}
 }
 
-var _ = Describe("an instance that reads the configuration for others", func() {
-	// Guards against followers that read the store whenever the configuration changes, and decode
-	// what they receive a moment later. If a change ends a feed after half a second, the result
-	// counts as current since the feed began. If the next feed then waits for 0.6 s, the snapshot
-	// is almost 1.2 s old, from which on followers read the store themselves.
+var _ = Describe("an instance that reads the rules for others", func() {
+	// Guards against followers that read the store whenever the rules change, and decode what they
+	// receive a moment later. If a change ends a feed after half a second, the result counts as
+	// read when the feed began. If the next feed then waits for 0.6 s, the snapshot is almost 1.2 s
+	// old, from which on followers read the store themselves.
 	It("has a fresh snapshot, also after a change", func() {
 		s := &waitingStore{rulesStore: *newRulesStore()}
 		s.write(1, 1, 50)
@@ -194,30 +194,32 @@
 	})
 })
 
-// hangingStore does not answer while hangs is set, and counts the calls that wait for it.
-type hangingStore struct {
+// unresponsiveStore does not answer while unresponsive is set, and counts the calls that wait for
+// it.
+type unresponsiveStore struct {
 	waitingStore
-	hangs   atomic.Bool
-	waiting atomic.Int64
+	unresponsive atomic.Bool
+	waiting      atomic.Int64
 }
 
-func (s *hangingStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]store.Row, uint64, error) {
-	if err := s.hang(ctx); err != nil {
+func (s *unresponsiveStore) Feed(ctx context.Context, table string, after uint64, wait time.Duration) ([]store.Row, uint64, error) {
+	if err := s.waitWhileUnresponsive(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.waitingStore.Feed(ctx, table, after, wait)
 }
 
-func (s *hangingStore) Scan(ctx context.Context, table, part string) ([]store.Row, uint64, error) {
-	if err := s.hang(ctx); err != nil {
+func (s *unresponsiveStore) Scan(ctx context.Context, table, part string) ([]store.Row, uint64, error) {
+	if err := s.waitWhileUnresponsive(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.waitingStore.Scan(ctx, table, part)
 }
 
-// hang blocks a call that arrives while hangs is set until its context is done.
-func (s *hangingStore) hang(ctx context.Context) error {
-	if !s.hangs.Load() {
+// waitWhileUnresponsive makes a call that arrives while unresponsive is set wait until its context
+// is done.
+func (s *unresponsiveStore) waitWhileUnresponsive(ctx context.Context) error {
+	if !s.unresponsive.Load() {
 		return nil
 	}
 	s.waiting.Add(1)
@@ -226,15 +228,15 @@
 	return store.ErrOutcomeUnknown
 }
 
-var _ = Describe("a read that hangs", func() {
+var _ = Describe("a read that the store does not answer", func() {
 	// Guards against a change that the store acknowledged after an outage and that no instance
-	// knows for another 1.6 s. An instance hears that the store is back and leads, but its read of
-	// the configuration began during the outage, will not be answered, and was ended only by its
-	// own timeout.
-	It("is repeated when another call shows that the store is back", func() {
-		s := &hangingStore{waitingStore: waitingStore{rulesStore: *newRulesStore()}}
+	// knows for another 1.6 s. An instance hears that the store is available again and leads, but
+	// its read of the rules began during the outage, will not be answered, and was ended only by
+	// its own timeout.
+	It("is repeated when another call shows that the store is available again", func() {
+		s := &unresponsiveStore{waitingStore: waitingStore{rulesStore: *newRulesStore()}}
 		s.write(1, 1, 50)
-		s.hangs.Store(true)
+		s.unresponsive.Store(true)
 		c := New(Config{Source: s.source()}, clock.System{}, s, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
 		ctx, cancel := context.WithCancel(context.Background())
 		var reading sync.WaitGroup
@@ -243,10 +245,10 @@
 			reading.Wait()
 		})
 		c.noteStoreResult(ctx, store.ErrOutcomeUnknown)
-		c.storeLostAt = c.storeLostAt.Add(-minOutage)
+		c.storeUnavailableSince = c.storeUnavailableSince.Add(-minOutage)
 		reading.Go(func() { c.pollRules(ctx) })
 		Eventually(s.waiting.Load, "2s", "5ms").Should(BeEquivalentTo(1))
-		s.hangs.Store(false)
+		s.unresponsive.Store(false)
 		c.noteStoreResult(ctx, nil)
 		Eventually(func() uint64 { return c.board.Snapshot().RulesVersion }, "500ms", "5ms").Should(Equal(uint64(1)))
 	})
--- a/coordination/lead/start.go
+++ b/coordination/lead/start.go
@@ -13,23 +13,23 @@
 )
 
 // Until an instance has led for the first time, no callers are served yet. If each instance then
-// read the configuration and the registry itself and bid for the lease, each would make several
-// calls, which are paid for, and would receive all of both. So all instances but the seeds wait
-// until a seed sends them its state.
+// read the rules and the registry itself and bid for the lease, each would make several calls to
+// the store, which cost money, and would receive all rules and the whole registry. So all instances
+// but the seeds wait until a seed sends them its state.
 //
 // At any later start callers are waiting, and an instance that starts reads the store at once.
 // After a power failure the holder of the lease may start later than the others, and requests that
 // arrive in the meantime would be refused.
 const (
-	// maxSeedWait is how long after its first start an instance leaves reading to the seeds. They
-	// may start 0.3 s after the others, and then need time to read the store and to reply to all.
+	// maxSeedWait is how long after its start an instance leaves reading to the seeds. They may
+	// start 0.3 s after the others, and then need time to read the store and to reply to all.
 	maxSeedWait = 1200 * time.Millisecond
-	// startRetryInterval is the minimum time between two requests for the full state.
+	// startRetryInterval is the minimum time between two calls for the full state.
 	startRetryInterval = 50 * time.Millisecond
 )
 
-// errKnowsNothing says that the instance that was asked for its full state has none yet.
-var errKnowsNothing = errors.New("lead: the other instance has no state yet")
+// errNoState says that the instance that was asked for its full state has none yet.
+var errNoState = errors.New("lead: the other instance has no state yet")
 
 // allowStoreReads is called after each read of the lease. The first call waits for the seeds if
 // this is the deployment's first start, and then allows this instance to read the store.
@@ -40,7 +40,7 @@
 	default:
 	}
 	for c.waitsForSeeds() && c.board.CurrentAsOf() == clock.Never && ctx.Err() == nil {
-		c.learnFrom(ctx, c.config.Seeds[xxhash.Sum64String(c.config.Self.ID)%uint64(len(c.config.Seeds))])
+		c.tryFetchFullState(ctx, c.config.Seeds[xxhash.Sum64String(c.config.Self.ID)%uint64(len(c.config.Seeds))])
 	}
 	close(c.mayReadStore)
 }
@@ -54,16 +54,16 @@
 		c.clock.Now().Sub(c.startedAt) < maxSeedWait
 }
 
-// learnFrom asks another instance for its full state, and waits a little if it has none.
-func (c *Coordinator) learnFrom(ctx context.Context, address string) {
+// tryFetchFullState asks another instance for its full state, and pauses if it did not get it.
+func (c *Coordinator) tryFetchFullState(ctx context.Context, address string) {
 	begun := c.clock.Now()
-	if c.fetchFullState(ctx, address, syncHold) != nil {
+	if c.fetchFullState(ctx, address, maxReplyDelay) != nil {
 		sleep(ctx, startRetryInterval-c.clock.Now().Sub(begun))
 	}
 }
 
-// fetchFullState asks another instance for its full state, however old, and applies it. wait is how
-// long that instance may hold the request until it has a state. If it has none, the error is
+// fetchFullState asks another instance for its full state, however old, and adopts it. wait is how
+// long that instance may delay its reply until it has a state. If it has none, the error is
 // errKnowsNothing.
 func (c *Coordinator) fetchFullState(ctx context.Context, address string, wait time.Duration) error {
 	args := c.newSyncArgs()
@@ -77,7 +77,7 @@
 		return err
 	}
 	if reply.TargetsRead == 0 || reply.RulesChanges == nil {
-		return errKnowsNothing
+		return errNoState
 	}
 	if err := unpackFullState(reply); err != nil {
 		return err
@@ -96,11 +96,11 @@
 	return nil
 }
 
-// awaitSnapshot waits until this instance has a snapshot and knows the leader, or until a request's
-// wait is over. If it replied before it has taken the lease, each of the others would read the
-// lease again.
+// awaitSnapshot waits until this instance has a snapshot and knows the leader, or until the
+// report's wait is over. If it replied before it has taken the lease, each of the others would read
+// the lease again.
 func (c *Coordinator) awaitSnapshot(ctx context.Context, args *peerapi.SyncArgs) {
-	timer := time.NewTimer(min(args.Wait, syncHold))
+	timer := time.NewTimer(min(args.Wait, maxReplyDelay))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Snapshot()
--- a/coordination/lead/start_test.go
+++ b/coordination/lead/start_test.go
@@ -25,7 +25,7 @@
 	targetTable = "targets"
 )
 
-// countingStore holds a lease, a configuration and a target, and counts the calls of one instance.
+// countingStore holds a lease, rules and a target, and counts the calls of one instance.
 type countingStore struct {
 	row   lease.Row
 	calls atomic.Int64
@@ -112,7 +112,7 @@
 		m := keyrange.Empty().Edit()
 		m.Move(0, keyrange.MaxKey, "x", false)
 		leader.board.SetMap("s", m.Map())
-		t := leader.beginTerm(&stored{lease: row, leaseVersion: 7}, now)
+		t := leader.beginTerm(&storedRows{lease: row, leaseVersion: 7}, now)
 		t.publishMembers()
 	}
 
--- a/coordination/lead/stored.go
+++ b/coordination/lead/stored.go
@@ -11,8 +11,8 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// stored is the content of this package's rows in the store.
-type stored struct {
+// storedRows is the content of this package's rows in the store.
+type storedRows struct {
 	// era is the store's era at the time of the read.
 	era uint64
 	// knewHolder says that this instance knew of a holder of the lease before this read.
@@ -26,7 +26,7 @@
 }
 
 // readStored reads the lease and the maps, consistent as of one moment.
-func (c *Coordinator) readStored(ctx context.Context) (*stored, error) {
+func (c *Coordinator) readStored(ctx context.Context) (*storedRows, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, version, err := c.store.Scan(callCtx, table, part)
@@ -37,8 +37,8 @@
 	return decodeStored(rows, store.EraOf(version))
 }
 
-func decodeStored(rows []store.Row, era uint64) (*stored, error) {
-	s := &stored{era: era, leaseVersion: store.VersionOf(era, 0), maps: map[string]*keyrange.Map{}, mapVersions: map[string]uint64{}}
+func decodeStored(rows []store.Row, era uint64) (*storedRows, error) {
+	s := &storedRows{era: era, leaseVersion: store.VersionOf(era, 0), maps: map[string]*keyrange.Map{}, mapVersions: map[string]uint64{}}
 	for _, row := range rows {
 		if row.Key == leaseKey {
 			var err error
@@ -88,7 +88,7 @@
 	c.noteLeaseRead(begun)
 	free := c.isFree(s, begun, now)
 	c.leaseNeverHeld = s.lease.Term == 0
-	// A write of this instance whose answer was lost may have taken effect.
+	// A write of this instance whose response was lost may have taken effect.
 	ours := s.ofCurrentEra() && s.lease.Holder == c.config.Self.ID
 	leader := lease.Row{}
 	if s.ofCurrentEra() && !free && !ours {
@@ -102,37 +102,38 @@
 	return c.bid(ctx, s), nil
 }
 
-// isFree reports whether the lease that was just read is free for this instance. The caller holds
-// the lock.
-func (c *Coordinator) isFree(s *stored, begun, now clock.Instant) bool {
+// isFree reports whether the lease that was just read is free for this instance. The caller must
+// hold the lock.
+func (c *Coordinator) isFree(s *storedRows, begun, now clock.Instant) bool {
 	if s.ofCurrentEra() {
-		return c.observer.MayAcquire(begun) || c.heldByPreviousProcess(s.lease) || s.lease.Term != 0 && s.lease.Term == c.vacatedTerm.term
+		return c.observer.MayAcquire(begun) || c.heldByFormerProcess(s.lease) || s.lease.Term != 0 && s.lease.Term == c.givenUpTerm.term
 	}
-	return c.priorTerm.stillExclusive(now) || c.observer.MayAcquire(begun) && c.knowsCurrentOwners(begun)
+	return c.formerTerm.stillExclusive(now) || c.observer.MayAcquire(begun) && c.knowsCurrentOwners(begun)
 }
 
-// noteLeaseRead notes that the lease row was read at the given time. The caller holds the lock.
+// noteLeaseRead notes that the lease row was read at the given time. The caller must hold the lock.
 func (c *Coordinator) noteLeaseRead(at clock.Instant) {
 	c.leaseReadAt = at
 	c.notifyCurrent()
 }
 
-// notifyCurrent wakes the questions that are held until this instance has current information. The
-// caller holds the lock.
+// notifyCurrent ends the wait of reports whose replies are delayed until this instance has current
+// information. The caller must hold the lock.
 func (c *Coordinator) notifyCurrent() {
 	close(c.becameCurrent)
 	c.becameCurrent = make(chan struct{})
 }
 
-// heldByPreviousProcess reports whether the holder of the lease is a former process at this
-// instance's address. That process has ended, since this one listens there, and does not act under
+// heldByFormerProcess reports whether the holder of the lease is a former process at this
+// instance's address. That process has exited, since this one listens there, and does not act under
 // the lease any more. Waiting for the lease to expire would leave the deployment without a leader
 // for 2 s after a restart of all instances.
-func (c *Coordinator) heldByPreviousProcess(row lease.Row) bool {
+func (c *Coordinator) heldByFormerProcess(row lease.Row) bool {
 	return row.Address == c.config.Self.Address && row.Holder != c.config.Self.ID
 }
 
-// bidDelay returns how long an instance with the given share of a core delays its bid.
+// bidDelay returns how long an instance with the given weight, its processor capacity in cores,
+// delays its bid.
 func bidDelay(weight float64) time.Duration {
 	if weight >= 1 {
 		return 0
@@ -140,8 +141,9 @@
 	return min(maxBidDelay, time.Duration(float64(bidDelayStep)*(1-weight)/weight))
 }
 
-// delayBid waits, so that instances that would lead better can take the lease first.
-func (c *Coordinator) delayBid(ctx context.Context, s *stored) {
+// delayBid waits, so that instances that are larger, or do not retain targets, can take the lease
+// first.
+func (c *Coordinator) delayBid(ctx context.Context, s *storedRows) {
 	sleep(ctx, bidDelay(c.config.Self.Weight))
 	if s.lease.Vacant && c.knowsMuchLarger() {
 		sleep(ctx, outrankedBidDelay)
@@ -151,7 +153,8 @@
 	}
 }
 
-func (c *Coordinator) bid(ctx context.Context, s *stored) *term {
+// bid tries to take the lease, and begins a term if it succeeds; otherwise it returns nil.
+func (c *Coordinator) bid(ctx context.Context, s *storedRows) *term {
 	if !c.mayResumeLeading() {
 		c.delayBid(ctx, s)
 	}
@@ -196,7 +199,7 @@
 }
 
 // raiseFences adds the maps with all fences raised to a transaction, and returns them.
-func (s *stored) raiseFences(txn *store.Txn) (map[string]*keyrange.Map, error) {
+func (s *storedRows) raiseFences(txn *store.Txn) (map[string]*keyrange.Map, error) {
 	raised := map[string]*keyrange.Map{}
 	for service, m := range s.maps {
 		raised[service] = m.WithRaisedFences(s.minCount())
--- a/coordination/lead/sync.go
+++ b/coordination/lead/sync.go
@@ -8,7 +8,7 @@
 	"lycheehall.example/lycheehall/protocol/peerapi"
 )
 
-// batchDelayPerReport is how long a reply with an update is delayed for each report that is held
+// batchDelayPerReport is how long a reply with an update is delayed for each report that waits
 // here, so that updates in quick succession are sent together.
 const batchDelayPerReport = 300 * time.Microsecond
 
@@ -20,12 +20,12 @@
 	t := c.term
 	c.mu.Unlock()
 	if t == nil {
-		answer := c.replyAsRelay
+		replyTo := c.replyAsRelay
 		if args.Relayed {
-			answer = c.replyToDownstream
+			replyTo = c.replyToDownstream
 		}
-		reply := answer(ctx, args)
-		reply.Vacated, reply.VacatedHeld = c.vacatedNotice()
+		reply := replyTo(ctx, args)
+		reply.Vacated, reply.VacatedHeld = c.givenUpNotice()
 		return reply
 	}
 	t.noteReport(args)
@@ -45,16 +45,16 @@
 	reply.Leader = c.leader
 	c.mu.Unlock()
 	reply.StoreSilent = t.suspectsCutOff(now)
-	reply.Vacated, reply.VacatedHeld = c.vacatedNotice()
+	reply.Vacated, reply.VacatedHeld = c.givenUpNotice()
 	return reply
 }
 
 // awaitUpdate waits until there is an update for the sender of a report, or the report's wait is
 // over.
 func (c *Coordinator) awaitUpdate(ctx context.Context, t *term, args *peerapi.SyncArgs) {
-	c.heldReports.Add(1)
-	defer c.heldReports.Add(-1)
-	timer := time.NewTimer(min(args.Wait, syncHold))
+	c.delayedReplies.Add(1)
+	defer c.delayedReplies.Add(-1)
+	timer := time.NewTimer(min(args.Wait, maxReplyDelay))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Snapshot()
@@ -75,10 +75,10 @@
 
 // batchUpdates delays an update for a moment, except for an instance that has just started.
 func (c *Coordinator) batchUpdates(ctx context.Context, args *peerapi.SyncArgs) {
-	count := int(c.heldReports.Load())
+	count := int(c.delayedReplies.Load())
 	if args.Relayed {
-		// Each reply costs processor time in the whole fleet, whichever instance sends it: with a
-		// move every 70 ms and no delay, 280 followers would each receive 14 replies a second.
+		// Each reply costs CPU time in the whole fleet, whichever instance sends it: with a move
+		// every 70 ms and no delay, 280 followers would each receive 14 replies a second.
 		count = len(c.board.Snapshot().Instances)
 	}
 	if !args.Starting {
--- a/coordination/lead/term.go
+++ b/coordination/lead/term.go
@@ -16,18 +16,18 @@
 const (
 	// tickInterval is the time between checks of what is due; results of calls are handled at once.
 	tickInterval = 25 * time.Millisecond
-	// storeUnavailableAfter is how long the lease must not have been renewed for the store to count
-	// as unavailable. Grants are then given the longest hold: nobody can renew them once the lease
-	// has expired, and nobody can take the lease while the store is unavailable. It is long enough
-	// for relays to report whether the store answers them, and leaves 0.5 s of the lease for the
-	// renewals.
+	// storeUnavailableAfter is the time since the last renewal of the lease after which the store
+	// counts as unavailable. Grants are then given the longest hold: nobody can renew them once the
+	// lease has expired, and nobody can take the lease while the store is unavailable. It is long
+	// enough for relays to report whether the store answers them, and leaves 0.5 s of the lease for
+	// the renewals.
 	storeUnavailableAfter = 1350 * time.Millisecond
 )
 
 // term is one leadership of this instance.
 type term struct {
 	c       *Coordinator
-	stored  *stored
+	stored  *storedRows
 	begunAt clock.Instant
 
 	// mu guards the fields from holder to knewMembers. No lock but the Board's is taken while it is
@@ -40,8 +40,9 @@
 	membersJoined bool
 	// knewMembers says that the members of the former leader were known.
 	knewMembers bool
-	// priorGrantsUntil is when all grants of former terms have expired; Never if that is not known.
-	priorGrantsUntil clock.Instant
+	// formerGrantsUntil is when all grants of former terms have expired; Never if that is not
+	// known.
+	formerGrantsUntil clock.Instant
 	// The fields below belong to the term's loop.
 	managers map[string]*assign.Manager
 
@@ -50,7 +51,8 @@
 	renewAt          clock.Instant
 	retryAt          clock.Instant
 	storeUnavailable bool
-	// extendHolds says that all grants get the longest hold because this instance leaves.
+	// extendHolds says that all grants get the longest hold because this instance gives the lease
+	// up while the store does not answer.
 	extendHolds  bool
 	ended        bool
 	loadReadAt   clock.Instant
@@ -67,19 +69,19 @@
 	return t.holder.Valid(now)
 }
 
-func (c *Coordinator) beginTerm(s *stored, confirmed clock.Instant) *term {
+func (c *Coordinator) beginTerm(s *storedRows, confirmed clock.Instant) *term {
 	now := c.clock.Now()
 	t := &term{
 		c: c, stored: s, begunAt: now, managers: map[string]*assign.Manager{}, members: map[string]*member{},
-		renewAt: now, retryAt: now, loadReadAt: clock.Never, priorGrantsUntil: clock.Never,
+		renewAt: now, retryAt: now, loadReadAt: clock.Never, formerGrantsUntil: clock.Never,
 		actions: make(chan func(), 1024), stop: make(chan struct{}), exited: make(chan struct{}),
 	}
 	t.holder.Renewed(confirmed)
 	c.mu.Lock()
-	if c.priorTerm.nextTerm == s.lease.Term {
-		t.priorGrantsUntil = c.priorTerm.grantsUntil
+	if c.formerTerm.nextTerm == s.lease.Term {
+		t.formerGrantsUntil = c.formerTerm.grantsUntil
 	}
-	c.priorTerm = priorTerm{}
+	c.formerTerm = formerTerm{}
 	c.heardFromLeader = true
 	c.mu.Unlock()
 	for _, i := range c.board.Snapshot().Instances {
@@ -87,8 +89,8 @@
 	}
 	t.members[c.config.Self.ID] = &member{Instance: c.config.Self, reportedAt: now}
 	c.mu.Lock()
-	if c.vacatedTerm.term != 0 && c.vacatedTerm.term == s.lease.Term-1 {
-		t.priorGrantsUntil = c.vacatedTerm.grantsUntil
+	if c.givenUpTerm.term != 0 && c.givenUpTerm.term == s.lease.Term-1 {
+		t.formerGrantsUntil = c.givenUpTerm.grantsUntil
 	}
 	c.term = t
 	c.lostLeader = ""
@@ -150,7 +152,7 @@
 		}
 	}
 	t.updateMembers(now)
-	t.handOver(ctx, now)
+	t.giveUpToLarger(ctx, now)
 	if t.ended {
 		return
 	}
@@ -186,7 +188,7 @@
 		m := t.managers[s.Name]
 		if m == nil {
 			m = assign.NewManager(assign.Config{
-				Service: s.Name, HoldMax: t.c.config.HoldMax, HeldUntil: t.priorGrantsUntil, Policy: t.c.policy(s.Imbalance),
+				Service: s.Name, HoldMax: t.c.config.HoldMax, HeldUntil: t.formerGrantsUntil, Policy: t.c.policy(s.Imbalance),
 			}, t.stored.maps[s.Name], now)
 			t.managers[s.Name] = m
 		}
@@ -195,10 +197,10 @@
 	}
 }
 
-// placementTargets returns a list of targets as keys are placed on them. Targets that have
-// announced that they are leaving, and those of evacuated data centres, count as draining. A
-// leaving target may not reach the registry. It would then keep its keys although no requests for
-// them are sent to it any more.
+// placementTargets returns a list of targets as the managers need it. Targets that have reported
+// that they are leaving, and those of evacuated data centres, count as draining. A leaving target
+// may be unable to write to the registry. It would then keep its keys although no requests for them
+// are sent to it any more.
 func placementTargets(s *view.Snapshot, list []view.Target, leaving []string) []view.Target {
 	list = slices.Clone(list)
 	for i, t := range list {
--- a/coordination/lead/timing.go
+++ b/coordination/lead/timing.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// syncHold is how long a leader holds a report when it has nothing new. It bounds the age of
-	// followers' snapshots, and determines the number of reports and replies.
-	syncHold = 350 * time.Millisecond
+	// maxReplyDelay is how long a leader delays its reply to a report when it has nothing new. It
+	// limits the age of followers' snapshots, and determines the number of reports and replies.
+	maxReplyDelay = 350 * time.Millisecond
 	// syncTimeout is how long a follower waits for a reply to its report.
-	syncTimeout = syncHold + 500*time.Millisecond
-	// staleAfter is the age of the snapshot from which on a follower reads the store itself. It is
-	// more than the age that results from the leader's waiting feeds, and leaves time for a read
-	// within the 2 s in which leaving targets and new rules must be known.
+	syncTimeout = maxReplyDelay + 500*time.Millisecond
+	// staleAfter is the age of the snapshot above which a follower reads the store itself. It is
+	// more than the age that snapshots reach because the leader's feeds wait for changes, and
+	// leaves time for a read within the 2 s in which leaving targets and new rules must be known.
 	staleAfter = 1200 * time.Millisecond
-	// relayStaleAfter is the age of the snapshot from which on a relay reads the store, so that it
+	// relayStaleAfter is the age of the snapshot above which a relay reads the store, so that it
 	// can reply to the others before they have to read. A relay that reports to the leader directly
-	// has a snapshot at most 0.75 s old: the wait of a feed and the hold of a report.
+	// has a snapshot at most 0.75 s old: the wait of a feed and the delay of a reply to a relay.
 	relayStaleAfter = 950 * time.Millisecond
 	// pollInterval is the time between such reads, and between a leader's reads of the registry.
 	pollInterval = 400 * time.Millisecond
@@ -25,41 +25,44 @@
 	// does not reply.
 	leaseReadInterval = 250 * time.Millisecond
 	// smallFleet is the number of instances up to which each reads the lease that often. In a
-	// larger fleet each reads it less often: the first one that finds it free takes it, and calls
-	// are paid for.
+	// larger fleet each reads it less often: the first one that finds it free takes it, and each
+	// call to the store costs money.
 	smallFleet = 12
-	// maxPollInterval bounds the time between reads of an instance that gets no replies.
+	// maxPollInterval limits the time between reads of an instance that gets no replies.
 	maxPollInterval = 800 * time.Millisecond
-	// maxLeaseReadInterval bounds the time between reads of the lease while the store does not answer
-	// this instance. It is no longer than the registry's entries take to come back after an outage,
-	// so that the store's return is noticed in that time.
+	// maxLeaseReadInterval limits the time between reads of the lease while the store does not
+	// answer this instance. It is no longer than it takes after an outage until the registry lists
+	// the targets again, so that an instance notices in that time that the store is available.
 	maxLeaseReadInterval = 2 * time.Second
-	// rulesFeedWait is how long a feed of the configuration waits for a change. A feed may miss
-	// changes for up to a second while they are being made; the next read shows them.
+	// rulesFeedWait is how long a feed of the rules, a read that waits for a change, waits at most.
+	// A feed may miss changes for up to a second while they are being made; the next read shows
+	// them.
 	rulesFeedWait = 600 * time.Millisecond
-	// minBackoff and maxBackoff bound the growing pause after a failed call to the store. Calls are
-	// paid for also while the store is unavailable, and its return should be noticed soon.
+	// minBackoff and maxBackoff limit the growing pause after a failed call to the store. Calls
+	// cost money also while the store is unavailable, but an instance should notice soon that it is
+	// available again.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 700 * time.Millisecond
 	// memberTimeout is how long an instance counts as present after its last report.
 	memberTimeout = 1500 * time.Millisecond
 	// bidDelayStep and maxBidDelay delay the bids of small instances for a free lease. A small
-	// leader (a sixth of a core with 60 instances and 270 targets) cannot renew the lease in time
-	// after all instances have been restarted, and loses it again and again.
+	// leader (a sixth of a CPU core with 60 instances and 270 targets) cannot renew the lease in
+	// time after all instances have been restarted, and loses it again and again.
 	bidDelayStep = 50 * time.Millisecond
 	maxBidDelay  = 300 * time.Millisecond
 	// retainingBidDelay delays the bid of an instance that retains targets which the registry does
 	// not list. It may have missed that they left; an instance that has read the registry without
-	// interruption knows better, and has bid by then.
+	// interruption has the correct list, and has bid by then.
 	retainingBidDelay = 500 * time.Millisecond
 )
 
-// scaleToFleet stretches a pause that many instances make at the same time.
+// scaleToFleet lengthens a pause that all instances make, in proportion to their number if there
+// are more than smallFleet.
 func (c *Coordinator) scaleToFleet(pause time.Duration) time.Duration {
 	return pause * time.Duration(max(smallFleet, len(c.board.Snapshot().Instances))) / smallFleet
 }
 
-// pauseAfterFailure stretches the pause after a failed call of an instance that is not a relay.
+// pauseAfterFailure lengthens the pause after a failed call of an instance that is not a relay.
 func (c *Coordinator) pauseAfterFailure(pause time.Duration, err error) time.Duration {
 	if err == nil || c.isStoreRelay() {
 		return pause
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -18,24 +18,24 @@
 // have reported to it and the load by key, and its replies pass on what it has received, with its
 // age.
 //
-// Without tree relays one instance replies to all. Its processor time, and the bytes sent between
-// data centres, then grow with the number of instances.
+// Without tree relays one instance replies to all. Its CPU time, and the bytes sent between data
+// centres, then grow with the number of instances.
 //
 // Relays decide nothing. An instance whose relay does not reply, or is itself not getting replies
 // from the leader, asks the next relay of its data centre, and then the leader.
 const (
 	// treeWidth is the largest number of instances that one instance replies to, if there are
 	// enough relays. Up to that many report to the leader directly. A reply to a change takes
-	// 0.1 ms of processor time, so that an instance with a sixth of a core replies to the last of
-	// 32 within 20 ms after the first.
+	// 0.1 ms of CPU time, so that an instance with a sixth of a CPU core replies to the last of 32
+	// within 20 ms after the first.
 	treeWidth = 32
-	// treeDuty names the duty in the ranking of instances.
+	// treeDuty is the name of this duty in the ranking of instances.
 	treeDuty = "tree"
-	// relaySyncHold is how long the report of a relay, of either kind, is held. The report of an
-	// instance that reports through a relay is held for the rest of syncHold. Its snapshot is then
-	// as old as if the leader replied to it directly.
-	relaySyncHold = 150 * time.Millisecond
-	// memberReportInterval is the minimum time between two reports of a relay that name the same
+	// relayMaxReplyDelay is how long the reply to a relay, of either kind, is delayed when there is
+	// nothing new. The reply to an instance that reports through a relay is delayed for up to the
+	// rest of maxReplyDelay. Its snapshot is then as old as if the leader replied to it directly.
+	relayMaxReplyDelay = 150 * time.Millisecond
+	// memberReportInterval is the minimum time between two reports of a relay that list the same
 	// follower. It leaves time for three of them within memberTimeout.
 	memberReportInterval = 400 * time.Millisecond
 )
@@ -46,9 +46,9 @@
 // downstream is an instance that reports through this one.
 type downstream struct {
 	view.Instance
-	reportedAt clock.Instant
-	leaving    bool
-	// forwardedAt is when the leader was last told that the instance had reported.
+	reportedAt   clock.Instant
+	shuttingDown bool
+	// forwardedAt is when this instance last reported to the leader that the instance had reported.
 	forwardedAt clock.Instant
 }
 
@@ -58,8 +58,8 @@
 	if len(list) <= treeWidth {
 		return nil
 	}
-	here := slices.DeleteFunc(slices.Clone(list), func(i view.Instance) bool { return i.DataCentre != dataCentre })
-	return rankInstances(here, treeDuty, (len(here)+treeWidth-1)/treeWidth)
+	local := slices.DeleteFunc(slices.Clone(list), func(i view.Instance) bool { return i.DataCentre != dataCentre })
+	return rankInstances(local, treeDuty, (len(local)+treeWidth-1)/treeWidth)
 }
 
 // treeRelay returns the address of the relay through which this instance reports; empty if it
@@ -81,11 +81,11 @@
 
 // reportViaRelay sends one report through a relay. It reports whether the relay has recently had a
 // reply from the leader.
-func (c *Coordinator) reportViaRelay(ctx context.Context, relay string, leaving bool) bool {
+func (c *Coordinator) reportViaRelay(ctx context.Context, relay string, shuttingDown bool) bool {
 	args := c.newSyncArgs()
-	args.Leaving = leaving
+	args.Leaving = shuttingDown
 	args.Relayed = true
-	args.Wait = syncHold - relaySyncHold
+	args.Wait = maxReplyDelay - relayMaxReplyDelay
 	args.Work, args.Pace = c.collector.TakeMeasurements()
 	begun := c.clock.Now()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
@@ -98,7 +98,7 @@
 		c.noteUnresponsive(relay, err)
 		return false
 	}
-	c.noteVacated(reply.Vacated, reply.VacatedHeld)
+	c.noteGivenUp(reply.Vacated, reply.VacatedHeld)
 	c.mu.Lock()
 	c.setLeader(reply.Leader)
 	c.mu.Unlock()
@@ -131,12 +131,12 @@
 }
 
 // hearsFromLeader reports whether the leader itself has replied to this instance recently, and this
-// instance is not leaving. Information about the leader from another instance does not count: it
-// might come from a follower of this relay.
+// instance is not shutting down. Information about the leader from another instance does not count:
+// it might come from a follower of this relay.
 func (c *Coordinator) hearsFromLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.leaving && c.leader.Address != "" && c.leaderRepliedAt != clock.Never && c.clock.Now().Sub(c.leaderRepliedAt) < maxRelayAge
+	return !c.shuttingDown && c.leader.Address != "" && c.leaderRepliedAt != clock.Never && c.clock.Now().Sub(c.leaderRepliedAt) < maxRelayAge
 }
 
 // noteDownstream notes a report that is to be forwarded.
@@ -150,7 +150,7 @@
 		c.downstreams[args.Self.ID] = d
 	}
 	d.reportedAt = c.clock.Now()
-	d.leaving = args.Leaving
+	d.shuttingDown = args.Leaving
 }
 
 // downstreamMembers returns the instances that have reported through this one, for its own report.
@@ -164,11 +164,11 @@
 			delete(c.downstreams, id)
 			continue
 		}
-		if d.reportedAt <= d.forwardedAt || now.Sub(d.forwardedAt) < memberReportInterval && !d.leaving {
+		if d.reportedAt <= d.forwardedAt || now.Sub(d.forwardedAt) < memberReportInterval && !d.shuttingDown {
 			continue
 		}
 		d.forwardedAt = now
-		list = append(list, peerapi.RelayedInstance{Instance: d.Instance, Age: now.Sub(d.reportedAt), Leaving: d.leaving})
+		list = append(list, peerapi.RelayedInstance{Instance: d.Instance, Age: now.Sub(d.reportedAt), Leaving: d.shuttingDown})
 	}
 	return list
 }
@@ -176,9 +176,9 @@
 // awaitForwardedUpdate waits until there is an update for the sender of a report, or the report's
 // wait is over.
 func (c *Coordinator) awaitForwardedUpdate(ctx context.Context, args *peerapi.SyncArgs) {
-	c.heldReports.Add(1)
-	defer c.heldReports.Add(-1)
-	timer := time.NewTimer(min(args.Wait, syncHold))
+	c.delayedReplies.Add(1)
+	defer c.delayedReplies.Add(-1)
+	timer := time.NewTimer(min(args.Wait, maxReplyDelay))
 	defer timer.Stop()
 	for {
 		snapshot := c.board.Snapshot()
--- a/coordination/lead/tree_test.go
+++ b/coordination/lead/tree_test.go
@@ -39,18 +39,19 @@
 func (f instanceNetwork) Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error) {
 	f.mu.Lock()
 	c := f.coordinators[address]
-	lost := c == nil || f.down[address] || f.down[f.address] || f.sendFails[f.address]
-	if !lost {
+	unreachable := c == nil || f.down[address] || f.down[f.address] || f.sendFails[f.address]
+	if !unreachable {
 		f.replies[address]++
 	}
 	f.mu.Unlock()
-	if lost {
-		return nil, errors.New("no answer")
+	if unreachable {
+		return nil, errors.New("no reply")
 	}
 	return c.Sync(ctx, args), nil
 }
 
-// takeReplyCounts returns how many calls each instance has answered since the last takeReplyCounts.
+// takeReplyCounts returns how many calls each instance has replied to since the last
+// takeReplyCounts.
 func (n *network) takeReplyCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,11 +60,11 @@
 	return counts
 }
 
-func (n *network) setFlags(in map[string]bool, lost bool, addresses ...string) {
+func (n *network) setFlags(in map[string]bool, value bool, addresses ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range addresses {
-		in[a] = lost
+		in[a] = value
 	}
 }
 
@@ -96,7 +97,7 @@
 		g.coordinators[self.Address] = c
 	}
 	g.leader = g.coordinators[g.row.Address]
-	t := g.leader.beginTerm(&stored{lease: g.row, leaseVersion: 7}, now)
+	t := g.leader.beginTerm(&storedRows{lease: g.row, leaseVersion: 7}, now)
 	for _, i := range g.instances {
 		t.noteMember(i, now, false)
 	}
@@ -131,7 +132,7 @@
 	})
 }
 
-// changeRules puts a new version of the rules into force at the leader.
+// changeRules publishes a new version of the rules at the leader.
 func (g *largeFleet) changeRules(version uint64) {
 	GinkgoHelper()
 	set, err := rules.Parse("rules", "")
@@ -158,21 +159,21 @@
 }
 
 var _ = Describe("reporting in a large fleet", func() {
-	// halfBound is half of the time within which a configuration must be in force in large
+	// halfTimeLimit is half of the time within which new rules must be in force in large
 	// deployments.
-	const halfBound = 1500 * time.Millisecond
+	const halfTimeLimit = 1500 * time.Millisecond
 
 	// Guards against a leader whose cost grows with the number of instances: with 301 instances,
-	// each of which kept a call open at the leader that was answered at each change, it used 0.8 of
-	// a core and sent 5.9 MB a second.
-	It("needs a bounded number of replies from each instance, however many instances there are", func() {
+	// each of which kept a call open at the leader that was replied to at each change, it used 0.8
+	// of a CPU core and sent 5.9 MB a second.
+	It("needs a limited number of replies from each instance, however many instances there are", func() {
 		most := func(count int) int {
 			g := newLargeFleet(count, 5)
 			g.start()
 			time.Sleep(600 * time.Millisecond)
 			g.takeReplyCounts()
 			g.changeRules(2)
-			Eventually(func() int { return g.countBehind(2) }, halfBound, "5ms").Should(BeZero())
+			Eventually(func() int { return g.countBehind(2) }, halfTimeLimit, "5ms").Should(BeZero())
 			busiest := 0
 			for _, n := range g.takeReplyCounts() {
 				busiest = max(busiest, n)
@@ -207,9 +208,9 @@
 	})
 
 	// Guards against a leaving target that keeps its keys while nobody sends it requests: it cannot
-	// reach the registry, and only one instance, which reports through a relay, has been told that
-	// it leaves.
-	It("tells the leader about a target that has announced that it is leaving", func() {
+	// write to the registry, and has reported that it is leaving to only one instance, which
+	// reports through a relay.
+	It("tells the leader about a target that has reported that it is leaving", func() {
 		g := newLargeFleet(120, 5)
 		g.start()
 		g.coordinators[g.instances[119].Address].targetStatus.RecordStatus("x", true, 0)
@@ -217,55 +218,55 @@
 		Expect(placementTargets(&view.Snapshot{}, []view.Target{{ID: "x"}, {ID: "y"}}, []string{"x"})).To(Equal([]view.Target{{ID: "x", Draining: true}, {ID: "y"}}))
 	})
 
-	It("tells the leader about an instance that is leaving", func() {
+	It("tells the leader about an instance that is shutting down", func() {
 		g := newLargeFleet(120, 5)
 		g.start()
-		leaves := g.coordinators[g.instances[119].Address]
-		leaves.mu.Lock()
-		leaves.leaving = true
-		leaves.mu.Unlock()
+		stopping := g.coordinators[g.instances[119].Address]
+		stopping.mu.Lock()
+		stopping.shuttingDown = true
+		stopping.mu.Unlock()
 		Eventually(func() int {
 			g.leader.term.updateMembers(g.leader.clock.Now())
 			return len(g.leader.board.Snapshot().Instances)
 		}, memberTimeout, "25ms").Should(Equal(119))
 	})
 
-	// Guards against instances that decide by an older version while their relay is gone: one or
-	// all relays of a data centre are lost before or while a change is sent.
-	DescribeTable("works without relays", func(lose func(g *largeFleet), lostLater time.Duration) {
+	// Guards against instances that decide by an older version while their relay is down: one or
+	// all relays of a data centre go down before or while a change is sent.
+	DescribeTable("works without relays", func(takeDown func(g *largeFleet), delay time.Duration) {
 		g := newLargeFleet(120, 5)
 		g.start()
 		time.Sleep(500 * time.Millisecond)
-		if lostLater == 0 {
-			lose(g)
+		if delay == 0 {
+			takeDown(g)
 		} else {
-			time.AfterFunc(lostLater, func() { lose(g) })
+			time.AfterFunc(delay, func() { takeDown(g) })
 		}
 		g.changeRules(2)
-		Eventually(func() int { return g.countBehind(2) }, halfBound, "5ms").Should(BeZero())
+		Eventually(func() int { return g.countBehind(2) }, halfTimeLimit, "5ms").Should(BeZero())
 		for _, c := range g.coordinators {
 			Expect(c.store.(*countingStore).calls.Load()).To(BeNumerically("<=", 2), c.config.Self.ID)
 		}
 	},
-		Entry("one lost", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, time.Duration(0)),
-		Entry("all of a data centre lost", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")...) }, time.Duration(0)),
-		Entry("one lost in each of two data centres", func(g *largeFleet) {
+		Entry("one down", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, time.Duration(0)),
+		Entry("all of a data centre down", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")...) }, time.Duration(0)),
+		Entry("one down in each of two data centres", func(g *largeFleet) {
 			g.setFlags(g.down, true, g.relaysOf("dc1")[0], g.relaysOf("dc2")[0])
 		}, time.Duration(0)),
-		Entry("one lost just after the change", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, time.Millisecond),
-		Entry("one lost while the change is being sent", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, 10*time.Millisecond),
+		Entry("one down just after the change", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, time.Millisecond),
+		Entry("one down while the change is being sent", func(g *largeFleet) { g.setFlags(g.down, true, g.relaysOf("dc1")[0]) }, 10*time.Millisecond),
 	)
 
 	// Guards against a relay without a connection to the leader that cuts its followers off as
 	// well.
-	It("bypasses a relay that the leader does not answer", func() {
+	It("bypasses a relay whose calls to the leader fail", func() {
 		g := newLargeFleet(120, 5)
 		g.start()
 		time.Sleep(500 * time.Millisecond)
 		g.setFlags(g.sendFails, true, g.relaysOf("dc1")[0])
 		time.Sleep(maxRelayAge)
 		g.changeRules(2)
-		Eventually(func() int { return g.countBehind(2) }, halfBound, "5ms").Should(BeNumerically("<=", 1))
+		Eventually(func() int { return g.countBehind(2) }, halfTimeLimit, "5ms").Should(BeNumerically("<=", 1))
 	})
 
 	It("uses large instances as relays where there are enough", func() {
@@ -324,11 +325,11 @@
 		}
 	})
 
-	// Guards against relays that read the store while the leader is well. The leader's snapshot is
-	// 0.6 s old after a feed has waited, and a report is held for up to 0.35 s; relays took that
-	// for stale. The steps here are those of a feed that waits its full time and a store that
+	// Guards against relays that read the store while it answers the leader. The leader's snapshot
+	// is 0.6 s old after a feed has waited, and a reply is delayed for up to 0.35 s; relays took
+	// that for stale. The steps here are those of a feed that waits its full time and a store that
 	// answers in 40 ms.
-	It("are not made by relays while the leader is well", func() {
+	It("are not made by relays while the store answers the leader", func() {
 		g := newLargeFleet(12, 3)
 		keepCurrent := func(length time.Duration) {
 			for begun := time.Now(); time.Since(begun) < length; time.Sleep(rulesFeedWait + 40*time.Millisecond) {
@@ -349,7 +350,7 @@
 		Expect(byOthers - othersBefore).To(BeZero())
 	})
 
-	// Where the store refuses all relays, the others must still learn what has changed.
+	// Where the store refuses all relays, the others must still get what has changed.
 	It("are made by the other instances when no relay can", func() {
 		g := newLargeFleet(90, 5)
 		for _, c := range g.coordinators {
@@ -370,7 +371,7 @@
 	// Guards against 300 calls a second while the store is unavailable: each of 295 instances tried
 	// it again every two seconds, for the rules and for the registry, although relays do so for
 	// all.
-	It("are tried by few instances while the store answers nobody", func() {
+	It("are made by few instances while the store is unavailable", func() {
 		g := newLargeFleet(90, 5)
 		unavailable := &unavailableStore{}
 		for _, c := range g.coordinators {
@@ -386,8 +387,8 @@
 })
 
 var _ = Describe("the ranking of instances for duties", func() {
-	// Guards against 1 % of a core used by an idle instance in a fleet of 295: it checks 25 times a
-	// second whether it is a relay, and ranked all instances each time.
+	// Guards against 1 % of a CPU core used by an idle instance in a fleet of 295: it checks 25
+	// times a second whether it is a relay, and ranked all instances each time.
 	It("is computed once for each list of instances", func() {
 		g := newLargeFleet(300, 5)
 		c := g.coordinators[g.instances[299].Address]
--- a/coordination/lead/vacate.go
+++ b/coordination/lead/vacate.go
@@ -11,14 +11,14 @@
 
 // A leader that the store does not answer cannot tell whether the store is unavailable or refuses
 // only this leader. In the first case the longest holds keep all keys served. In the second case
-// they delay the reassignment of keys of lost targets: if the store refuses only the leader and a
-// target stops answering a moment later, that target's keys stay unserved for 8 s.
+// they delay the reassignment of the keys of unresponsive targets: if the store refuses only the
+// leader and a target stops answering a moment later, that target's keys stay unserved for 8 s.
 //
-// So the leader asks. Its replies say that the store does not answer it; relays among its followers
-// then call the store, and report whether they got an answer. If one did, the leader announces that
-// it gives the lease up: it does not act under the lease any more, and states when all its grants
-// will have expired. An instance that has received this need neither wait for the lease to expire
-// nor for the longest hold.
+// So the leader asks. Its replies to reports say that the store does not answer it; relays among
+// its followers then call the store, and report whether it answered. If it answered one of them,
+// the leader announces that it gave the lease up: that it does not act under the lease any more,
+// and when all its grants will have expired. An instance that has received this need neither wait
+// for the lease to expire nor for the longest hold.
 //
 // The announcement applies to a term, not to a version of the lease row: a renewal that was on its
 // way may still take effect.
@@ -27,13 +27,14 @@
 	// renewalOverdueAfter is how long a renewal of the lease must be overdue before the leader asks
 	// whether the store answers others. A healthy store answers within 20 ms.
 	renewalOverdueAfter = 300 * time.Millisecond
-	// maxPromptAnswer is the longest time in which the store must answer a relay for the answer to
+	// maxPromptResponse is the time within which the store must answer a relay for the response to
 	// count. A store that is slow for all instances takes longer, and the leader goes on.
-	maxPromptAnswer = 150 * time.Millisecond
+	maxPromptResponse = 150 * time.Millisecond
 )
 
-// vacatedTerm is the announcement of a former leader that it does not act in its term any more.
-type vacatedTerm struct {
+// givenUpTerm is the announcement of a former leader that it gave its term up: it does not act in
+// it any more. Replies contain it as Vacated and VacatedHeld.
+type givenUpTerm struct {
 	// term is the term that was given up; 0 if there is none.
 	term uint64
 	// grantsUntil is when all grants of that term, and of earlier ones, have expired.
@@ -55,15 +56,15 @@
 		return
 	}
 	select {
-	case t.actions <- t.vacate:
+	case t.actions <- t.giveUpByAnnouncement:
 	default:
-		// The loop is far behind; the next report says it again.
+		// The queue of actions is full; the next report repeats this.
 	}
 }
 
-// vacate ends this leadership by announcement, without a write to the store. It runs in the term's
-// loop.
-func (t *term) vacate() {
+// giveUpByAnnouncement ends this leadership without a write to the store; replies to reports
+// announce it. It runs in the term's loop.
+func (t *term) giveUpByAnnouncement() {
 	now := t.c.clock.Now()
 	if t.ended || !t.suspectsCutOff(now) {
 		return
@@ -72,57 +73,57 @@
 	t.holder.GivenUp()
 	t.mu.Unlock()
 	t.ended = true
-	held := t.grantsUntil(now)
+	grantsUntil := t.grantsUntil(now)
 	t.c.mu.Lock()
-	t.c.vacatedTerm = vacatedTerm{t.stored.lease.Term, held}
+	t.c.givenUpTerm = givenUpTerm{t.stored.lease.Term, grantsUntil}
 	t.c.mu.Unlock()
-	t.c.log("lease-given-up", "term", t.stored.lease.Term, "reason", "the store answers others", "held_ms", held.Sub(now).Milliseconds())
+	t.c.log("lease-given-up", "term", t.stored.lease.Term, "reason", "the store answers others", "held_ms", grantsUntil.Sub(now).Milliseconds())
 	t.stopOnce.Do(func() { close(t.stop) })
 }
 
 // grantsUntil returns when all grants of this term, and of earlier ones, have expired.
 func (t *term) grantsUntil(now clock.Instant) clock.Instant {
-	held := now
+	until := now
 	for _, m := range t.managers {
-		held = held.Later(m.HeldUntil(now))
+		until = until.Later(m.HeldUntil(now))
 	}
 	for service := range t.stored.maps {
 		if t.managers[service] == nil {
 			// The rules are not known here yet; former leaders may have granted the service's keys.
-			held = held.Later(now.Add(assign.GrantLifetime(t.c.config.HoldMax)))
+			until = until.Later(now.Add(assign.GrantLifetime(t.c.config.HoldMax)))
 		}
 	}
-	return held
+	return until
 }
 
-// vacatedNotice returns the newest vacated term that is known here, and the time until all its
-// grants have expired.
-func (c *Coordinator) vacatedNotice() (term uint64, held time.Duration) {
+// givenUpNotice returns the newest term that is known here to have been given up, and the time
+// until all its grants have expired.
+func (c *Coordinator) givenUpNotice() (term uint64, grantsLeft time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.vacatedTerm.term, max(0, c.vacatedTerm.grantsUntil.Sub(c.clock.Now()))
+	return c.givenUpTerm.term, max(0, c.givenUpTerm.grantsUntil.Sub(c.clock.Now()))
 }
 
-// noteVacated notes a vacated term from a report's reply, if it is newer than the known one.
-func (c *Coordinator) noteVacated(term uint64, held time.Duration) {
+// noteGivenUp notes a term that a reply announces as given up, if it is newer than the known one.
+func (c *Coordinator) noteGivenUp(term uint64, grantsLeft time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if term > c.vacatedTerm.term {
-		c.vacatedTerm = vacatedTerm{term, c.clock.Now().Add(held)}
+	if term > c.givenUpTerm.term {
+		c.givenUpTerm = givenUpTerm{term, c.clock.Now().Add(grantsLeft)}
 	}
 }
 
-// probeStore calls the store for a leader that gets no answers from it, if this instance is a store
-// relay.
+// probeStore calls the store for a leader that the store does not answer, if this instance is a
+// store relay.
 func (c *Coordinator) probeStore(ctx context.Context) {
 	if !c.isStoreRelay() {
 		return
 	}
 	begun := c.clock.Now()
-	callCtx, cancel := context.WithTimeout(ctx, maxPromptAnswer)
+	callCtx, cancel := context.WithTimeout(ctx, maxPromptResponse)
 	defer cancel()
 	_, err := c.readStored(callCtx)
-	if now := c.clock.Now(); err == nil && now.Sub(begun) < maxPromptAnswer {
+	if now := c.clock.Now(); err == nil && now.Sub(begun) < maxPromptResponse {
 		c.mu.Lock()
 		c.storeAnsweredAt = now
 		c.mu.Unlock()
--- a/coordination/lead/vacate_test.go
+++ b/coordination/lead/vacate_test.go
@@ -42,7 +42,7 @@
 func (noOrders) CloseIdleExcept(func(string) bool) {}
 
 var _ = Describe("a leader that the store does not answer", func() {
-	const held = 3
+	const heldTerm = 3
 	var (
 		leader, follower *Coordinator
 		leaderTerm       *term
@@ -53,11 +53,11 @@
 	begin := func(confirmed, answersIn time.Duration) {
 		_, all, _ := newFleet(2)
 		leader, follower = all["a00"], all["a01"]
-		row := lease.Row{Holder: leader.config.Self.ID, Address: "a00", Term: held}
+		row := lease.Row{Holder: leader.config.Self.ID, Address: "a00", Term: heldTerm}
 		follower.store = &slowStore{&leaseStore{row: row, version: 9}, answersIn}
 		leader.orders = noOrders{}
 		leader.collector, follower.collector = demand.NewCollector(), demand.NewCollector()
-		leaderTerm = leader.beginTerm(&stored{lease: row, leaseVersion: 9}, leader.clock.Now().Add(-confirmed))
+		leaderTerm = leader.beginTerm(&storedRows{lease: row, leaseVersion: 9}, leader.clock.Now().Add(-confirmed))
 		leaderTerm.retryAt = leader.clock.Now().Add(time.Hour)
 		done := make(chan struct{})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -73,25 +73,25 @@
 
 	report := func() bool { return follower.reportTo(context.Background(), "a00", false) }
 
-	// Guards against keys of lost targets that are unserved for 9 s. The store refuses only the
-	// leader. The leader takes the store for unavailable and gives all targets the longest hold,
-	// 10 s. Its lease expires, and the next leader has to wait for those holds.
+	// Guards against keys of unresponsive targets that are unserved for 9 s. The store refuses only
+	// the leader. The leader takes the store for unavailable and gives all targets the longest
+	// hold, 10 s. Its lease expires, and the next leader has to wait for those holds.
 	It("gives the lease up by announcement when the store answers others", func() {
 		begin(900*time.Millisecond, 0)
 		Expect(report()).To(BeTrue(), "the follower is asked to try the store")
 		Eventually(report, "1s").Should(BeFalse(), "the follower reports that the store answers, and learns that the lease is given up")
 		Expect(leader.Leading()).To(BeFalse())
-		Expect(follower.vacatedTerm.term).To(Equal(uint64(held)))
+		Expect(follower.givenUpTerm.term).To(Equal(uint64(heldTerm)))
 
 		next, err := follower.checkLease(context.Background(), true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next).NotTo(BeNil(), "the follower takes the lease at once")
-		Expect(next.priorGrantsUntil).To(BeNumerically("<", follower.clock.Now().Add(time.Second)), "nothing was granted")
+		Expect(next.formerGrantsUntil).To(BeNumerically("<", follower.clock.Now().Add(time.Second)), "nothing was granted")
 	})
 
 	// Guards against two targets that hold the same keys: an instance leads before it knows the
-	// rules and gives the lease up, and the next leader reassigns the keys of a lost target at
-	// once. Keys of services without a manager must count as granted.
+	// rules and gives the lease up, and the next leader reassigns the keys of an unresponsive
+	// target at once. Keys of services without a manager must count as granted.
 	It("announces the longest hold for services whose rules it does not know", func() {
 		begin(900*time.Millisecond, 0)
 		leader.config.HoldMax = 10 * time.Second
@@ -107,10 +107,10 @@
 		Expect(leader.Leading()).To(BeTrue())
 	})
 
-	// Guards against frequent changes of the leader while the store is slow: an answer after a
-	// quarter of a second does not show that the store is well.
+	// Guards against frequent changes of the leader while the store is slow: a response after a
+	// quarter of a second does not show that the store answers promptly.
 	It("goes on when the store is slow for others as well", func() {
-		begin(900*time.Millisecond, 2*maxPromptAnswer)
+		begin(900*time.Millisecond, 2*maxPromptResponse)
 		Expect(report()).To(BeTrue())
 		Expect(report()).To(BeTrue())
 		Expect(leader.Leading()).To(BeTrue())
@@ -118,7 +118,7 @@
 
 	It("does not free the lease of a later term by its announcement", func() {
 		begin(0, 0)
-		follower.noteVacated(held-1, 0)
+		follower.noteGivenUp(heldTerm-1, 0)
 		t, err := follower.checkLease(context.Background(), true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(t).To(BeNil())
@@ -143,7 +143,7 @@
 	// Guards against keys that are unserved for four seconds. The store becomes unavailable; a
 	// second later, before the holds are extended, the leader gets SIGTERM. If it ended its
 	// leadership at once, holds would expire, and no instance could take the lease.
-	leave := func(s store.Store) time.Duration {
+	shutDown := func(s store.Store) time.Duration {
 		set, err := rules.Parse("rules", "[[service]]\nname = \"s\"\nkeyed = true\n")
 		Expect(err).NotTo(HaveOccurred())
 		_, all, _ := newFleet(1)
@@ -155,7 +155,7 @@
 		e.Move(0, keyrange.MaxKey, "x", false)
 		e.FinishMove(0, keyrange.MaxKey)
 		row := lease.Row{Holder: c.config.Self.ID, Address: "a00", Term: 3}
-		t := c.beginTerm(&stored{lease: row, leaseVersion: 9, maps: map[string]*keyrange.Map{"s": e.Map()}, mapVersions: map[string]uint64{"s": 9}}, c.clock.Now())
+		t := c.beginTerm(&storedRows{lease: row, leaseVersion: 9, maps: map[string]*keyrange.Map{"s": e.Map()}, mapVersions: map[string]uint64{"s": 9}}, c.clock.Now())
 		t.retryAt = c.clock.Now().Add(time.Hour)
 		go t.run(context.Background())
 		time.Sleep(100 * time.Millisecond)
@@ -166,21 +166,21 @@
 	}
 
 	It("gives all targets the longest hold while the store is unavailable", func() {
-		Expect(leave(&unavailableStore{})).To(Equal(10 * time.Second))
+		Expect(shutDown(&unavailableStore{})).To(Equal(10 * time.Second))
 	})
 
 	It("does not extend holds while the store answers", func() {
-		Expect(leave(&leaseStore{row: lease.Row{Holder: "i00.1", Term: 3}, version: 9})).To(BeNumerically("<", 5*time.Second))
+		Expect(shutDown(&leaseStore{row: lease.Row{Holder: "i00.1", Term: 3}, version: 9})).To(BeNumerically("<", 5*time.Second))
 	})
 })
 
-var _ = Describe("the announcement of a vacated term", func() {
+var _ = Describe("the announcement of a given-up term", func() {
 	It("is not replaced by one for an older term", func() {
 		c := New(Config{Self: view.Instance{ID: "i"}}, clock.System{}, nil, view.NewBoard(clock.System{}), nil, nil, nil, discardLog)
-		c.noteVacated(5, time.Second)
-		c.noteVacated(4, time.Minute)
-		term, held := c.vacatedNotice()
+		c.noteGivenUp(5, time.Second)
+		c.noteGivenUp(4, time.Minute)
+		term, grantsLeft := c.givenUpNotice()
 		Expect(term).To(Equal(uint64(5)))
-		Expect(held).To(BeNumerically("<=", time.Second))
+		Expect(grantsLeft).To(BeNumerically("<=", time.Second))
 	})
 })
