--- a/coordination/permit/capacity.go
+++ b/coordination/permit/capacity.go
@@ -8,9 +8,9 @@
 
 // capacity is the current throughput of a pool, as a number of slots of an average target.
 type capacity struct {
-	// equivalentSlots is the number of slots of the usable targets, weighted by the targets' speed.
+	// equivalentSlots is the sum of slots times speed over the usable targets.
 	equivalentSlots float64
-	// rateLimitedSlots is equivalentSlots, reduced for targets that take only a certain number of
+	// rateLimitedSlots is equivalentSlots, reduced for targets that accept only a certain number of
 	// requests a second.
 	rateLimitedSlots float64
 	// untilNextSend is the time until at least one target may get the next request.
@@ -38,7 +38,8 @@
 	return max(c.untilNextSend, workDuration(running, c.equivalentSlots)) + workDuration(waiting, c.rateLimitedSlots)
 }
 
-// meanSlowness returns how long requests take in the pool now, relative to an average target.
+// meanSlowness returns how many times as long as at an average target requests take in the pool
+// now.
 func (p *pool) meanSlowness(now clock.Instant) float64 {
 	slots, equivalent := 0.0, 0.0
 	for _, t := range p.current {
--- a/coordination/permit/cold.go
+++ b/coordination/permit/cold.go
@@ -6,9 +6,9 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// A target that has just started, or has not been used for long, is slow, and breaks down at a
-// request rate that it handles easily later. Its keeper spaces requests to it by the interval of
-// its cold rate. The first request is sent after a whole interval, so that the old and the new
+// A target that has just started, or has not been used for long, is slow, and fails at a request
+// rate that it serves easily later. Its keeper spaces requests to it by the interval of its cold
+// rate. The first request is sent after a whole interval, so that the old and the new
 // keeper together stay within the cold rate when the keeper changes.
 
 // coldInterval returns the minimum time between two requests to a cold target.
@@ -45,8 +45,8 @@
 	}
 }
 
-// equivalentSlots returns the number of slots of an average target that are as fast as the slots of
-// this one.
+// equivalentSlots returns the number of slots of an average target that do the same work as the
+// slots of this one: slots times speed.
 func (t *poolTarget) equivalentSlots(now clock.Instant) float64 {
 	return float64(t.Slots) / t.currentSlowness(now)
 }
--- a/coordination/permit/cold_test.go
+++ b/coordination/permit/cold_test.go
@@ -14,7 +14,7 @@
 	cold := func(until time.Duration) Target {
 		return Target{ID: "a", Slots: 30, ColdUntil: start.Add(until), ColdRate: rate}
 	}
-	// countSent asks continuously, answers at once, and counts the permits.
+	// countSent asks continuously, returns the permits at once, and counts them.
 	countSent := func(f *fixture, length time.Duration) int {
 		count := 0
 		for end := f.now.Add(length); f.now < end; f.now = f.now.Add(5 * time.Millisecond) {
@@ -60,7 +60,7 @@
 		Expect(countSent(f, time.Second)).To(BeNumerically("<=", 6))
 	})
 
-	g.It("has requests beyond its cold rate refused with a matching retry time (guards against holding callers until their deadline)", func() {
+	g.It("has requests beyond its cold rate refused with a matching retry time (guards against callers that wait until their deadline)", func() {
 		f := newFixture(cold(10 * time.Second))
 		var refused *RefusedError
 		for range 40 {
--- a/coordination/permit/groups.go
+++ b/coordination/permit/groups.go
@@ -18,7 +18,7 @@
 	// few targets one queue is better: a free slot is found from every instance.
 	maxUngroupedTargets = 16
 	// targetsPerGroup is the number of targets for which a data centre gets one more group. A
-	// keeper handles two messages for each request, and may have only a sixth of a core.
+	// keeper handles two messages for each request, and may have only a sixth of a CPU core.
 	targetsPerGroup = 10
 	// maxGroupTries is the number of groups that are asked for a free slot before a request is
 	// queued at one of them.
@@ -27,12 +27,15 @@
 	skipFullFor = 150 * time.Millisecond
 )
 
-// Group is a subset of the targets of a service without keys. One keeper hands out its slots, an
-// instance in the group's data centre if there is one.
+// Group is a subset of the targets of a service that is not keyed. One keeper hands out its slots,
+// an instance in the group's data centre if there is one.
 type Group struct {
+	// Name and DataCentre are empty if the service has so few targets that they form a single
+	// group.
 	Name       string
 	DataCentre string
-	Slots      int
+	// Slots is the sum of the targets' slots.
+	Slots int
 }
 
 // GroupOf returns the name of the group that a target belongs to. It needs all targets of the
@@ -75,7 +78,7 @@
 }
 
 // Chooser selects which group of a service to ask for a permit, based on the waiting times of
-// earlier requests. It is safe for concurrent use; its lock is a leaf.
+// earlier requests. It is safe for concurrent use.
 type Chooser struct {
 	clock      clock.Clock
 	dataCentre string
@@ -104,10 +107,11 @@
 	c.waits[groupID{service, group}] = waitEstimate{wait, c.clock.Now()}
 }
 
-// Candidates returns at most maxGroupTries groups in the order in which to ask them for a free
-// slot: those of the instance's own data centre first, the others in random order weighted by their
-// slots. It omits groups that had no free slot a moment ago, and groups in other data centres if
-// the given cost of using these is high.
+// Candidates returns at most three groups (maxGroupTries) in the order in which to ask them for a
+// free slot: those of the instance's own data centre first, and within and outside it in random
+// order weighted by slots. It omits groups that had no free slot within the last 150 ms
+// (skipFullFor), and groups in other data centres if the given cost of using these, see
+// CrossDataCentreCost, is 50 ms or more (minCostToWaitLocally).
 func (c *Chooser) Candidates(service string, groups []Group, cost time.Duration) []Group {
 	type ranked struct {
 		Group
@@ -126,7 +130,7 @@
 		// Sorting by exponentially distributed keys gives a random order weighted by slots.
 		key := rand.ExpFloat64() / float64(max(1, g.Slots))
 		if g.DataCentre != c.dataCentre {
-			key += remotePenalty
+			key += otherDataCentrePenalty
 		}
 		list = append(list, ranked{g, key})
 	}
@@ -139,8 +143,9 @@
 	return candidates
 }
 
-// remotePenalty sorts the groups of other data centres behind all groups of the instance's own.
-const remotePenalty = 1e9
+// otherDataCentrePenalty sorts the groups of other data centres behind all groups of the instance's
+// own.
+const otherDataCentrePenalty = 1e9
 
 // ShortestWait returns the group with the shortest known wait, where cost is added for groups in
 // other data centres.
--- a/coordination/permit/keeper.go
+++ b/coordination/permit/keeper.go
@@ -9,20 +9,20 @@
 )
 
 // serveInterval is the time between periodic checks of the queues. They handle deadlines that pass,
-// targets that appear and permits that were not returned; ends of requests are handled at once.
+// targets that appear and permits that were not returned; returned permits are handled at once.
 const serveInterval = 20 * time.Millisecond
 
-// poolIdleTimeout is how long a pool that is not asked for is retained.
+// poolIdleTimeout is how long a pool without asks, and without permits in use, is retained.
 const poolIdleTimeout = 30 * time.Second
 
 // Keeper hands out the slots of the targets that this instance is the keeper of. It is safe for
 // concurrent use.
 type Keeper struct {
 	clock clock.Clock
-	// targets returns the currently known targets of a pool.
+	// targets returns the current targets of a pool.
 	targets func(id PoolID) []Target
 
-	// wake tells Run that slots are in use again.
+	// wake makes Run start the periodic checks, because slots are in use again.
 	wake chan struct{}
 
 	mu    sync.Mutex
@@ -35,7 +35,7 @@
 // PoolID identifies the slots of one target, or of a group of interchangeable targets.
 type PoolID struct {
 	Service string
-	// Target is empty for services without keys.
+	// Target is the target's ID; it is empty for services that are not keyed.
 	Target string
 	Group  string
 }
@@ -49,8 +49,8 @@
 	usedAt clock.Instant
 }
 
-// NewKeeper returns a Keeper. The targets function is called with the Keeper's lock held and must
-// not block.
+// NewKeeper returns a Keeper without pools. The targets function returns the current targets of a
+// pool; it is called with the Keeper's lock held and must not block.
 func NewKeeper(c clock.Clock, targets func(PoolID) []Target) *Keeper {
 	return &Keeper{clock: c, targets: targets, wake: make(chan struct{}, 1), pools: map[PoolID]*keptPool{}}
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// startTicking makes Run check the queues periodically. The caller holds the lock.
+// startTicking makes Run check the queues periodically. The caller must hold the lock.
 func (k *Keeper) startTicking() {
 	if !k.ticking {
 		k.ticking = true
@@ -108,7 +108,7 @@
 	return k.ticking
 }
 
-// pool returns the pool with an ID, which it creates if necessary. The caller holds the lock.
+// pool returns the pool with an ID, which it creates if necessary. The caller must hold the lock.
 func (k *Keeper) pool(id PoolID, now clock.Instant) *keptPool {
 	p := k.pools[id]
 	if p == nil {
@@ -168,7 +168,8 @@
 	p.serveQueue(now)
 }
 
-// Abandon withdraws an ask that waits, or returns its permit.
+// Abandon withdraws a queued ask, or returns its permit, after the caller of the request has gone
+// away. The ID is that of the ask.
 func (k *Keeper) Abandon(pool PoolID, id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/coordination/permit/keepers.go
+++ b/coordination/permit/keepers.go
@@ -9,23 +9,26 @@
 
 const (
 	// maxAllKeepers is the number of instances up to which all of them are keepers. Each instance
-	// then has few others to talk to, and the loss of one affects few requests.
+	// then has connections to few others, and the loss of one affects few requests.
 	maxAllKeepers = 32
-	// keeperShare is the fraction of a data centre's processors that its keepers have. The keepers
+	// keeperShare is the fraction of a data centre's processor capacity that its keepers have. They
 	// handle two messages for each request of all instances.
 	keeperShare = 0.2
-	// minKeepers leaves two keepers in a data centre that loses one.
+	// minKeepers is the minimum number of keepers in a data centre, so that two remain if one
+	// shuts down or crashes.
 	minKeepers = 3
-	// keeperDuty names the duty in the ranking of instances.
+	// keeperDuty is the name of the keepers' duty, which is work that an instance does for others.
+	// It enters the ranking of instances.
 	keeperDuty = "keeper"
 )
 
-// Keepers returns the instances that are keepers of pools: in a large fleet the largest ones of
-// each data centre, as many as have a fifth of its processors.
+// Keepers returns the instances that are keepers of pools. If there are many instances, these are
+// the ones with the largest weights in each data centre, as many as together have a fifth of its
+// processor capacity.
 //
-// If all instances of a large fleet were keepers, each would have a connection to and from every
-// other one, and its memory use would grow with the number of instances. All instances that know
-// the same list compute the same keepers.
+// If all instances were keepers then too, each would have a connection to and from every other one,
+// and its memory use would grow with the number of instances. All instances that know the same list
+// compute the same keepers.
 func Keepers(list []view.Instance) []view.Instance {
 	if len(list) <= maxAllKeepers {
 		return list
@@ -41,8 +44,8 @@
 	return keepers
 }
 
-// largest returns the largest instances of a data centre that together have keeperShare of its
-// processors.
+// largest returns the instances with the largest weights in a data centre that together have
+// keeperShare of its processor capacity, and at least minKeepers.
 func largest(instances []view.Instance) []view.Instance {
 	total := 0.0
 	for _, i := range instances {
--- a/coordination/permit/keepers_test.go
+++ b/coordination/permit/keepers_test.go
@@ -9,7 +9,7 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// makeInstances returns instances in five data centres, the first ones of which are large.
+// makeInstances returns instances in five data centres. The first ones have a large weight.
 func makeInstances(count, large int) []view.Instance {
 	var list []view.Instance
 	for n := range count {
@@ -24,9 +24,9 @@
 
 var _ = g.Describe("the keepers of pools", func() {
 	// If every instance were a keeper, every instance would have connections to all others. Small
-	// instances would use 50 MB and more with each instance that joins, which does not scale to ten
-	// times the fleet.
-	g.It("are a few large instances in a large fleet, with a fifth of the processors of each data centre", func() {
+	// instances would use 50 MB, and more with each instance that is added, which does not scale to
+	// ten times as many instances.
+	g.It("are a few instances with large weights if there are many instances, with a fifth of the processor capacity of each data centre", func() {
 		Expect(Keepers(makeInstances(295, 15))).To(HaveLen(15))
 		uniform := Keepers(makeInstances(295, 0))
 		Expect(len(uniform)).To(BeNumerically("~", 295*keeperShare, 5))
@@ -37,7 +37,7 @@
 		Expect(dataCentres).To(HaveLen(5))
 	})
 
-	g.It("are all instances of a small fleet", func() {
+	g.It("are all instances if there are few", func() {
 		Expect(Keepers(makeInstances(maxAllKeepers, 3))).To(HaveLen(maxAllKeepers))
 	})
 
--- a/coordination/permit/limit.go
+++ b/coordination/permit/limit.go
@@ -10,20 +10,21 @@
 	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
-// An overloaded target states in its answers how many requests a second it accepts from all
+// An overloaded target reports in its responses how many requests a second it accepts from all
 // instances together. Its keeper sees all requests to the target and enforces this limit. Each
-// instance that gets such an answer forwards the limit to the keeper: when it returns the permit,
+// instance that gets such a response forwards the limit to the keeper: when it returns the permit,
 // and again with each ask, so that a new keeper learns it from the first instance that knows it.
 
 // minBurst is the minimum number of requests that a target with a limit may get at once after a
-// pause. A burst of one would make requests wait although the target accepts more than arrive.
+// time without requests. With a burst of one, requests would wait although the target accepts more
+// than arrive.
 const minBurst = 2
 
-// rateLimit enforces the limit that a target has stated.
+// rateLimit enforces the limit that a target has reported.
 type rateLimit struct {
-	// limiter is nil if the target states no limit.
+	// limiter is nil if the target reports no limit.
 	limiter *rate.Limiter
-	// answeredAt is when the target last answered, with or without a limit.
+	// answeredAt is when the target last responded, with or without a limit.
 	answeredAt clock.Instant
 }
 
@@ -31,7 +32,7 @@
 func limiterTime(now clock.Instant) time.Time { return time.Unix(0, int64(now)) }
 
 // setLimit records how many requests a second the target accepts from all instances together, as it
-// stated at the given time; 0 means no limit.
+// reported at the given time; 0 means no limit.
 //
 // The first request is let through after a whole interval, so that the old and the new keeper
 // together stay within the limit when the keeper changes.
@@ -70,8 +71,8 @@
 	}
 }
 
-// perSecond returns how many requests a second the target accepts; limited is false if it states no
-// limit.
+// perSecond returns how many requests a second the target accepts; limited is false if it reports
+// no limit.
 func (l *rateLimit) perSecond() (perSecond float64, limited bool) {
 	if l.limiter == nil {
 		return 0, false
@@ -79,12 +80,12 @@
 	return float64(l.limiter.Limit()), true
 }
 
-// allLimited reports whether all targets of the pool state limits.
+// allLimited reports whether all targets of the pool report limits.
 func (p *pool) allLimited() bool {
 	return !slices.ContainsFunc(p.current, func(t *poolTarget) bool { return t.limiter == nil })
 }
 
-// recordLimits records the limits that targets of the pool have stated to an instance.
+// recordLimits records the limits that targets of the pool have reported to an instance.
 func (p *pool) recordLimits(list []targetstatus.Limit, now clock.Instant) {
 	for _, l := range list {
 		if t := p.targets[l.Target]; t != nil {
--- a/coordination/permit/limit_test.go
+++ b/coordination/permit/limit_test.go
@@ -9,13 +9,13 @@
 	"lycheehall.example/lycheehall/coordination/targetstatus"
 )
 
-var _ = g.Describe("a target that states a limit for all instances together", func() {
+var _ = g.Describe("a target that reports a limit for all instances together", func() {
 	const perSecond = 1.5
 	withLimit := func(age time.Duration) func(*Ask) {
 		return func(a *Ask) { a.Limits = []targetstatus.Limit{{Target: "a", PerSecond: perSecond, Age: age}} }
 	}
 	oneTarget := func() *fixture { return newFixture(Target{ID: "a", Slots: 6}) }
-	// useBurst uses up the burst that is available after a pause.
+	// useBurst uses up the burst that is available after a time without requests.
 	useBurst := func(f *fixture) {
 		g.GinkgoHelper()
 		f.recordLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
@@ -26,9 +26,9 @@
 			Expect(p.Target).To(Equal("a"))
 		}
 	}
-	// countSent asks continuously, answers at once with the given stated limit, and counts the
+	// countSent asks continuously, reports the given limit of the target at once, and counts the
 	// permits.
-	countSent := func(f *fixture, length time.Duration, change func(*Ask), stated float64) int {
+	countSent := func(f *fixture, length time.Duration, change func(*Ask), limit float64) int {
 		count := 0
 		for end := f.now.Add(length); f.now < end; f.now = f.now.Add(10 * time.Millisecond) {
 			a := Ask{}
@@ -45,12 +45,12 @@
 				continue
 			}
 			count++
-			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: time.Millisecond, Heard: true, Limit: stated}, f.now)
+			f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: time.Millisecond, Heard: true, Limit: limit}, f.now)
 		}
 		return count
 	}
 
-	g.It("gets requests at this rate once one answer has stated it (guards against a limit that is only forwarded)", func() {
+	g.It("gets requests at this rate once one response has reported it (guards against a limit that is only forwarded)", func() {
 		f := oneTarget()
 		countSent(f, time.Second, nil, perSecond)
 		Expect(countSent(f, 20*time.Second, nil, perSecond)).To(BeNumerically("~", 20*perSecond, 2))
@@ -67,33 +67,33 @@
 		Expect(countSent(before, 2*time.Second, withLimit(0), perSecond) + countSent(after, 2*time.Second, withLimit(0), perSecond)).To(BeNumerically("<=", 4*perSecond+minBurst))
 	})
 
-	g.It("gets requests without a limit after the first answer that states none (guards against a limit that is never lifted)", func() {
+	g.It("gets requests without a limit after the first response that reports none (guards against a limit that is never lifted)", func() {
 		f := oneTarget()
 		countSent(f, 5*time.Second, nil, perSecond)
 		Expect(countSent(f, 2*time.Second, nil, 0)).To(BeNumerically(">", 100))
 	})
 
-	g.It("is not held to an older limit than its last answer stated (guards against instances that do not know that the limit was lifted)", func() {
+	g.It("is not limited by an older limit than its last response reported (guards against instances that do not know that the limit was lifted)", func() {
 		f := oneTarget()
 		countSent(f, time.Second, nil, 0)
 		Expect(countSent(f, time.Second, withLimit(time.Minute), 0)).To(BeNumerically(">", 90))
 	})
 
-	g.It("is held to its newest limit (guards against enforcing the first one)", func() {
+	g.It("is limited by its newest limit (guards against enforcing the first one)", func() {
 		f := oneTarget()
 		countSent(f, 5*time.Second, nil, 20)
 		countSent(f, 5*time.Second, nil, perSecond)
 		Expect(countSent(f, 20*time.Second, nil, perSecond)).To(BeNumerically("~", 20*perSecond, 2))
 	})
 
-	g.It("gets two requests at once after a pause (guards against requests that wait although it would accept them)", func() {
+	g.It("gets two requests at once after a time without requests (guards against requests that wait although it would accept them)", func() {
 		f := oneTarget()
 		useBurst(f)
 		_, p, _ := f.ask(nil)
 		Expect(p.Target).To(BeEmpty())
 	})
 
-	g.It("has requests beyond it refused at once with a matching retry time (guards against holding callers until their deadline)", func() {
+	g.It("has requests beyond it refused at once with a matching retry time (guards against callers that wait until their deadline)", func() {
 		f := oneTarget()
 		f.recordLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		_, _, err := f.ask(nil)
@@ -102,7 +102,7 @@
 		Expect(err.(*RefusedError).RetryAfter).To(BeNumerically("~", time.Second*2/3, 10*time.Millisecond))
 	})
 
-	g.It("serves requests that will be in time (guards against late answers while more requests arrive than it accepts)", func() {
+	g.It("serves requests that will be in time (guards against late responses while more requests arrive than it accepts)", func() {
 		f := oneTarget()
 		f.recordLimits([]targetstatus.Limit{{Target: "a", PerSecond: perSecond}}, f.now)
 		inTime := func(a *Ask) { a.AimLeft = 800 * time.Millisecond }
--- a/coordination/permit/locality.go
+++ b/coordination/permit/locality.go
@@ -9,29 +9,30 @@
 const (
 	// crossDataCentreBaseCost is the time added to the expected duration of a request to a target
 	// in another data centre: the network round trip, and a little for the traffic between data
-	// centres, which is paid for.
+	// centres, which costs money.
 	crossDataCentreBaseCost = 10 * time.Millisecond
-	// crossDataCentreCostPerKB is the time added for each KB of the answer. An answer of 90 KB
+	// crossDataCentreCostPerKB is the time added for each KB of the response. A response of 90 KB
 	// counts 0.37 s, so it comes from another data centre only if it would be late from the local
 	// one.
 	crossDataCentreCostPerKB = 4 * time.Millisecond
 	// minCostToWaitLocally is the cost of another data centre from which on a request waits for a
-	// local slot although a remote one is free. Below it, only the time until the answer matters.
+	// slot in its own data centre although one in another is free. Below it, only the time until
+	// the response matters.
 	minCostToWaitLocally = 50 * time.Millisecond
 	// localWaitMargin is the factor by which a request may take longer than expected and still be
-	// answered within its aim after it has waited for a local slot.
+	// answered within its aim after it has waited for a slot in its own data centre.
 	localWaitMargin = 1.5
 )
 
 // CrossDataCentreCost returns the time by which a target in another data centre counts as slower,
-// for answers of the given mean size in bytes.
+// for responses of the given mean size in bytes.
 func CrossDataCentreCost(bytes float64) time.Duration {
 	return crossDataCentreBaseCost + time.Duration(bytes/1024*float64(crossDataCentreCostPerKB))
 }
 
 // shouldWaitLocally reports whether a request should wait for a slot in its own data centre
 // although one is free in another: if the wait is shorter than the cost of the other data centre,
-// and the answer still arrives within the request's aim.
+// and the response still arrives within the request's aim.
 func (p *pool) shouldWaitLocally(w *waiter, now clock.Instant) bool {
 	if w.ask.Abroad < minCostToWaitLocally {
 		return false
--- a/coordination/permit/locality_test.go
+++ b/coordination/permit/locality_test.go
@@ -10,8 +10,9 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// outcomeCount counts the outcomes of simulated requests; remote ones ran in another data centre.
-type outcomeCount struct{ inTime, late, refused, remote int }
+// outcomeCount counts the outcomes of simulated requests, and those that ran in another data centre
+// than their caller's.
+type outcomeCount struct{ inTime, late, refused, otherDataCentre int }
 
 // simulateDataCentres simulates requests of 180 ms from three data centres with two targets of six
 // slots each, where the targets of the first data centre are twice as fast, and counts the
@@ -42,7 +43,7 @@
 			took /= 2
 		}
 		if f.targets[p.Target].DataCentre != w.ask.DataCentre {
-			count.remote++
+			count.otherDataCentre++
 		}
 		running = append(running, end{f.now.Add(took), p, w})
 	}
@@ -96,30 +97,31 @@
 	return count
 }
 
-var _ = g.Describe("large answers", func() {
-	largeAnswerCost := CrossDataCentreCost(90_000)
+var _ = g.Describe("large responses", func() {
+	largeResponseCost := CrossDataCentreCost(90_000)
 
-	// Answers of 90 KB are requested in three data centres, and the targets of one are the fastest.
-	// If only the duration counted, all requests would go there, although all are in time locally
-	// too, and the traffic between data centres, which is the most expensive part, would grow.
+	// Responses of 90 KB are requested in three data centres, and the targets of one are the
+	// fastest. If only the duration counted, all requests would go there, although all are in time
+	// locally too, and the traffic between data centres, which is the most expensive part, would
+	// grow.
 	g.It("come from the local data centre while they are in time there", func() {
-		withCost, withoutCost := simulateDataCentres(largeAnswerCost, 60), simulateDataCentres(crossDataCentreBaseCost, 60)
+		withCost, withoutCost := simulateDataCentres(largeResponseCost, 60), simulateDataCentres(crossDataCentreBaseCost, 60)
 		total := withCost.inTime + withCost.late + withCost.refused
-		Expect(withCost.remote).To(BeNumerically("<", withoutCost.remote/4), "%+v, by duration alone %+v", withCost, withoutCost)
+		Expect(withCost.otherDataCentre).To(BeNumerically("<", withoutCost.otherDataCentre/4), "%+v, by duration alone %+v", withCost, withoutCost)
 		Expect(withCost.late + withCost.refused).To(BeNumerically("<=", total/100))
 	})
 
 	// Guards against refusing callers in one data centre while another one has free slots.
 	g.It("come from another data centre if they would be late from the local one", func() {
-		count := simulateDataCentres(largeAnswerCost, 210)
+		count := simulateDataCentres(largeResponseCost, 210)
 		total := count.inTime + count.late + count.refused
 		Expect(count.late+count.refused).To(BeNumerically("<", total/20), "%+v", count)
-		Expect(count.remote).To(BeNumerically(">", 0))
+		Expect(count.otherDataCentre).To(BeNumerically(">", 0))
 	})
 
 	g.It("do not wait for a local target if there is none", func() {
 		f := newFixture(Target{ID: "b", Slots: 1, DataCentre: "dc2"})
-		_, p, err := f.ask(func(a *Ask) { a.DataCentre, a.Abroad = "dc1", largeAnswerCost })
+		_, p, err := f.ask(func(a *Ask) { a.DataCentre, a.Abroad = "dc1", largeResponseCost })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Target).To(Equal("b"))
 	})
--- a/coordination/permit/permit_test.go
+++ b/coordination/permit/permit_test.go
@@ -49,13 +49,13 @@
 	return w, p, err
 }
 
-func (f *fixture) served(p Permit, took time.Duration) {
+func (f *fixture) reportServed(p Permit, took time.Duration) {
 	f.report(Report{ID: p.ID, Target: p.Target, Rule: "r", Result: ResultServed, Took: took}, f.now)
 	f.serveQueue(f.now)
 }
 
 var _ = g.Describe("a pool of slots", func() {
-	// Guards against many instances, each within its own bound, sending a target more than it can
+	// Guards against many instances, each within its own limit, sending a target more than it can
 	// run and queue: it would reset connections, and bookings on them would be lost.
 	g.It("never grants more permits than the targets have slots", func() {
 		f := newFixture(twoTargets(3)...)
@@ -75,13 +75,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		high, _, err := f.ask(func(a *Ask) { a.Priority = 0 })
 		Expect(err).NotTo(HaveOccurred())
-		f.served(first, 100*time.Millisecond)
+		f.reportServed(first, 100*time.Millisecond)
 		Expect(high.done).To(Receive())
 		Expect(low.done).NotTo(Receive())
 	})
 
 	// Guards against a queue that is as long as the deadline allows: under a load of twice the
-	// capacity, each served request would have waited too long, and every answer would be late.
+	// capacity, each served request would have waited too long, and every response would be late.
 	g.It("refuses at once requests that would be late, with the time until a slot is free", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		var refused *RefusedError
@@ -116,9 +116,8 @@
 		Expect(a.err).To(MatchError(ContainSubstring(ReasonLate)))
 	})
 
-	// A look-up is queued, and more urgent requests arrive one after the other. If the queue were
-	// checked only at the look-up's own deadline, it would be refused after 2.9 s of 3 s, with no
-	// time left to retry.
+	// A look-up is queued, and more urgent requests arrive one after the other. If it were refused
+	// only at its own deadline, that would be after 2.9 s of 3 s, with no time left to retry.
 	g.It("refuses early a queued request that more urgent ones have delayed too much", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
@@ -145,7 +144,7 @@
 				took = 400 * time.Millisecond
 			}
 			f.now = f.now.Add(took)
-			f.served(p, took)
+			f.reportServed(p, took)
 		}
 		_, p, _ := f.ask(nil)
 		Expect(p.Target).To(Equal("b"))
@@ -159,7 +158,7 @@
 			_, p, err := f.ask(nil)
 			Expect(err).NotTo(HaveOccurred())
 			f.now = f.now.Add(100 * time.Millisecond)
-			f.served(p, 100*time.Millisecond)
+			f.reportServed(p, 100*time.Millisecond)
 		}
 		f.setTargets(append(twoTargets(4), Target{ID: "c", Slots: 4}), f.now)
 		used := map[string]int{}
@@ -206,13 +205,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = f.ask(nil)
 		Expect(err).NotTo(HaveOccurred())
-		f.served(first, time.Millisecond)
+		f.reportServed(first, time.Millisecond)
 		_, _, err = f.ask(suspect(7))
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Instances that hold permits may crash. If nobody returned these, the target would have fewer
-	// and fewer slots.
+	// Instances may crash before they return their permits. If these were not reclaimed, the target
+	// would have fewer and fewer slots.
 	g.It("reclaims permits after their deadline", func() {
 		f := newFixture(Target{ID: "a", Slots: 1})
 		f.ask(nil)
--- a/coordination/permit/pool.go
+++ b/coordination/permit/pool.go
@@ -15,9 +15,11 @@
 	// ejectionTime is how long a target that failed or could not be reached is not used.
 	ejectionTime = 400 * time.Millisecond
 	// reclaimDelay is the time after its deadline at which a permit is reclaimed. The instance that
-	// has the permit gives up at the deadline; if it has crashed, nobody else returns the permit.
+	// has the permit gives the request up at the deadline; if it has crashed, nobody else returns
+	// the permit.
 	reclaimDelay = 500 * time.Millisecond
-	// minRetryAfter keeps refused callers from returning before anything can have changed.
+	// minRetryAfter is the minimum RetryAfter, so that refused callers do not retry before anything
+	// can have changed.
 	minRetryAfter = 200 * time.Millisecond
 )
 
@@ -25,8 +27,10 @@
 type poolTarget struct {
 	Target
 	slownessEstimate
-	inUse        int
-	failureRate  float64
+	// inUse is the number of slots for which permits are granted.
+	inUse       int
+	failureRate float64
+	// ejectedUntil is when the target may be used again after failures.
 	ejectedUntil clock.Instant
 	usedAt       clock.Instant
 	listed       bool
@@ -57,7 +61,7 @@
 	current []*poolTarget
 	waiting []*waiter
 	granted map[string]grantedPermit
-	// meanDurations are the mean durations of each rule's requests at a target of average speed.
+	// meanDurations are the mean durations of each rule's requests at an average target.
 	meanDurations map[string]time.Duration
 }
 
@@ -65,8 +69,8 @@
 	return &pool{targets: map[string]*poolTarget{}, granted: map[string]grantedPermit{}, meanDurations: map[string]time.Duration{}}
 }
 
-// setTargets replaces the list of targets. A target that is no longer listed is kept until its
-// permits are returned.
+// setTargets replaces the list of targets. A target that is no longer in the list is retained until
+// its permits are returned.
 func (p *pool) setTargets(list []Target, now clock.Instant) {
 	for _, t := range p.targets {
 		t.listed = false
@@ -124,7 +128,7 @@
 	return best
 }
 
-// bestTarget returns the target with a free slot that is expected to answer first, or nil.
+// bestTarget returns the target with a free slot that is expected to respond first, or nil.
 func (p *pool) bestTarget(w *waiter, now clock.Instant) *poolTarget {
 	var best *poolTarget
 	bestExpected := time.Duration(0)
@@ -154,7 +158,7 @@
 	return best
 }
 
-// similarRatio is the ratio up to which two expected durations count as equal. The speed of a
+// similarRatio is the ratio up to which two expected durations count as equal. The slowness of a
 // target is known only while it is used, so among equal targets the least used one is chosen.
 const similarRatio = 1.15
 
@@ -208,7 +212,7 @@
 // so much that a request that gets its slot within its aim is often answered in time. A request
 // that has been refused before is queued up to its deadline.
 //
-// If all targets state limits, the wait is known in advance. A request that would be late is then
+// If all targets report limits, the wait is known in advance. A request that would be late is then
 // refused at once, which leaves the slot to a request that arrives when it is free.
 func (p *pool) latestGrant(w *waiter) clock.Instant {
 	if w.ask.Returning || w.aim <= w.arrived {
@@ -238,7 +242,7 @@
 }
 
 // serveQueue grants free slots to queued requests, and refuses requests that can no longer be
-// served in time because more urgent ones have arrived since they were queued. If these were held
+// served in time because more urgent ones have arrived since they were queued. If these waited
 // until their deadline, their callers would have no time left to retry.
 func (p *pool) serveQueue(now clock.Instant) {
 	slowness := p.meanSlowness(now)
@@ -273,7 +277,7 @@
 	p.waiting = remaining
 }
 
-// report takes a permit back and updates the statistics with the result of the request.
+// report records the return of a permit and updates the statistics with the result of the request.
 func (p *pool) report(r Report, now clock.Instant) {
 	g, ok := p.granted[r.ID]
 	if !ok {
@@ -295,7 +299,7 @@
 // necessary.
 func (p *pool) recordResult(t *poolTarget, g grantedPermit, r Report, now clock.Instant) {
 	if r.Slowness > 0 {
-		t.recordStated(r.Slowness, now)
+		t.recordReported(r.Slowness, now)
 	}
 	switch r.Result {
 	case ResultServed:
@@ -315,7 +319,7 @@
 }
 
 // recordDuration updates the mean duration of the rule's requests at an average target, and, if the
-// target does not state its slowness, the target's measured slowness.
+// target does not report its slowness, the target's measured slowness.
 func (p *pool) recordDuration(t *poolTarget, rule string, r Report, now clock.Instant) {
 	mean := p.meanDurations[rule]
 	if r.Slowness > 0 {
@@ -348,7 +352,8 @@
 	return 2*(ejected+1) <= len(p.current)
 }
 
-// reclaimExpired takes back permits whose holders must have given up.
+// reclaimExpired reclaims permits that were not returned, although the instances that got them have
+// certainly given the requests up.
 func (p *pool) reclaimExpired(now clock.Instant) {
 	for id, g := range p.granted {
 		if now >= g.deadline.Add(reclaimDelay) {
@@ -357,7 +362,7 @@
 	}
 }
 
-// abandon removes an ask whose caller has gone away, whether it is queued or has a permit.
+// abandon removes a queued ask whose caller has gone away, or records the return of its permit.
 func (p *pool) abandon(id string, now clock.Instant) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *waiter) bool { return w.ask.ID == id })
 	p.report(Report{ID: id, Result: ResultDropped}, now)
--- a/coordination/permit/queue_order_test.go
+++ b/coordination/permit/queue_order_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load: look-ups and bookings for the keys of one target with three slots, which is slowed down
-// at times, at rising utilisation. Bookings are one priority more urgent.
+// Look-ups and bookings arrive for the keys of one target with three slots, which is slowed down at
+// times, at rising utilisation. Bookings are one priority more urgent.
 var _ = g.Describe("the order of the queue", func() {
 	simulate := func(perSecond float64) map[string]float64 {
 		shares := simulation{
@@ -16,13 +16,13 @@
 				{rule: "look-up", priority: 2, share: 0.45, work: 160 * time.Millisecond, aim: 600 * time.Millisecond, timeout: 4 * time.Second},
 				{rule: "booking", priority: 1, share: 0.55, work: 210 * time.Millisecond, aim: 800 * time.Millisecond, timeout: 5 * time.Second},
 			},
-			perSecond: perSecond, seconds: 600, targets: []Target{{ID: "a", DataCentre: "dc1", Slots: 3}}, statesSlowness: true,
+			perSecond: perSecond, seconds: 600, targets: []Target{{ID: "a", DataCentre: "dc1", Slots: 3}}, reportsSlowness: true,
 		}.run(3)
 		g.GinkgoWriter.Printf("%.0f requests/s: in time %.3f\n", perSecond, shares)
 		return shares
 	}
 
-	g.DescribeTable("serves urgent requests better, and the less urgent ones too (guards against the least urgent waiting for all others)",
+	g.DescribeTable("serves urgent requests better, and the less urgent ones too (guards against a strict order, in which the least urgent wait for all others)",
 		func(perSecond, bookings, lookUps float64) {
 			shares := simulate(perSecond)
 			Expect(shares["booking"]).To(BeNumerically(">=", shares["look-up"]-0.01))
--- a/coordination/permit/simulation_test.go
+++ b/coordination/permit/simulation_test.go
@@ -19,8 +19,8 @@
 	perSecond float64
 	seconds   int
 	targets   []Target
-	// statesSlowness says that the targets state their slowness.
-	statesSlowness bool
+	// reportsSlowness is set if the targets report their slowness.
+	reportsSlowness bool
 }
 
 // traffic describes the requests of a rule.
@@ -29,7 +29,7 @@
 	priority  int
 	share     float64
 	work, aim time.Duration
-	// timeout is how long the callers wait in total.
+	// timeout is how long the callers wait in total, with their retries.
 	timeout time.Duration
 }
 
@@ -40,8 +40,8 @@
 	disturbedBy    = 3
 	// workSpread is the sigma of the lognormal distribution of a request's work.
 	workSpread = 0.8
-	// maxReturns is how often a refused caller retries.
-	maxReturns = 2
+	// maxRetries is how often a refused caller retries.
+	maxRetries = 2
 )
 
 // request is a caller's request in progress.
@@ -49,7 +49,7 @@
 	traffic *traffic
 	first   clock.Instant
 	work    time.Duration
-	tries   int
+	retries int
 	at      clock.Instant
 	took    time.Duration
 	waiter  *waiter
@@ -68,7 +68,7 @@
 		if r.now.Sub(start)%disturbedEvery == 0 {
 			r.disturb()
 		}
-		r.running = due(r.running, r.now, r.answered)
+		r.running = due(r.running, r.now, r.finish)
 		r.serveQueue(r.now)
 		r.collect()
 		r.backingOff = due(r.backingOff, r.now, r.send)
@@ -120,7 +120,7 @@
 	w, p, err := r.ask(func(a *Ask) {
 		a.Rule, a.Priority, a.DataCentre = q.traffic.rule, q.traffic.priority, "dc1"
 		a.AimLeft, a.Left = q.first.Add(q.traffic.aim).Sub(r.now), q.first.Add(q.traffic.timeout).Sub(r.now)
-		a.Returning = q.tries > 0
+		a.Returning = q.retries > 0
 	})
 	q.waiter = w
 	switch {
@@ -143,18 +143,18 @@
 // refused schedules the retry of a refused request, if its caller has enough time left.
 func (r *simulationRun) refused(q *request, err error) {
 	var full *RefusedError
-	if !errors.As(err, &full) || q.tries >= maxReturns || r.now.Add(full.RetryAfter) > q.first.Add(q.traffic.timeout) {
+	if !errors.As(err, &full) || q.retries >= maxRetries || r.now.Add(full.RetryAfter) > q.first.Add(q.traffic.timeout) {
 		return
 	}
-	q.tries++
+	q.retries++
 	q.at = r.now.Add(full.RetryAfter)
 	r.backingOff = append(r.backingOff, q)
 }
 
-// answered ends a request at its target.
-func (r *simulationRun) answered(q *request) {
+// finish ends a request at its target and returns its permit.
+func (r *simulationRun) finish(q *request) {
 	report := Report{ID: q.permit.ID, Target: q.permit.Target, Rule: q.traffic.rule, Result: ResultServed, Took: q.took}
-	if r.statesSlowness {
+	if r.reportsSlowness {
 		report.Slowness = r.slowness[q.permit.Target]
 	}
 	r.report(report, r.now)
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -10,7 +10,8 @@
 
 // Ask is a request for a permit.
 type Ask struct {
-	// ID is unique to the asking instance's attempt.
+	// ID identifies the ask, uniquely among all instances. The permit that is granted for it has
+	// the same ID.
 	ID string
 	// Service and Target say whose slots are asked for. If Target is empty, any target of the
 	// service except those in Exclude will do.
@@ -21,7 +22,9 @@
 	Group string
 	// NoQueue asks for a free slot only: if there is none, the ask is refused with ReasonBusy.
 	NoQueue bool
-	Rule    string
+	// Rule is the name of the rule that the request matched. The keeper estimates from it how long
+	// the request will take.
+	Rule string
 	// Priority is the rule's priority; 0 is the most urgent.
 	Priority int
 	// AimLeft is the remaining time within which the request should be answered. It is negative if
@@ -29,8 +32,8 @@
 	AimLeft time.Duration
 	// Left is the remaining time until the request is given up.
 	Left time.Duration
-	// Returning says that the caller was refused before and has retried after the time that it was
-	// told to wait.
+	// Returning is set if the caller was refused before and has retried after the RetryAfter of the
+	// refusal. The ask may then be queued until its deadline instead of its aim.
 	Returning bool
 	// DataCentre is the data centre of the asking instance; targets in it are preferred.
 	DataCentre string
@@ -40,47 +43,52 @@
 	// Suspect identifies a request during which a target has crashed; 0 if none has. Of the
 	// requests with the same ID only one is let through at a time, since each may crash its target.
 	Suspect uint64
-	// Limits are the limits that targets of the pool have stated to the asking instance.
+	// Limits are the limits that targets of the pool have reported to the asking instance.
 	Limits []targetstatus.Limit
 }
 
 // Permit allows one request to be sent to a target.
 type Permit struct {
+	// ID is the ID of the ask.
 	ID     string
 	Target string
 	// Waited is how long the ask was queued.
 	Waited time.Duration
 }
 
-// Result is the outcome of the request that a permit was for.
+// Result is the outcome of the request that a permit was for. Keepers update the statistics of
+// targets with it.
 type Result string
 
-// The results that a keeper learns from.
 const (
-	// Served: the target answered.
+	// ResultServed: the target responded, and not with a failure.
 	ResultServed Result = "served"
-	// Failed: the target answered with a failure, or closed the connection early.
+	// ResultFailed: the target responded with a failure, or closed the connection early.
 	ResultFailed Result = "failed"
-	// Shed: the target said that it did not run the request.
+	// ResultNotExecuted: the target reported that it did not execute the request.
 	ResultNotExecuted Result = "shed"
-	// Unreachable: no connection to the target could be made.
+	// ResultUnreachable: no connection to the target could be made.
 	ResultUnreachable Result = "unreachable"
-	// Dropped: the request was given up, which says nothing about the target.
+	// ResultDropped: the caller or the instance gave the request up before a response, which says
+	// nothing about the target.
 	ResultDropped Result = "dropped"
 )
 
-// Report returns a permit, with the outcome of its request.
+// Report is the message with which a permit is returned.
 type Report struct {
+	// ID is the ID of the permit, Target its target.
 	ID     string
 	Target string
+	// Rule is the rule of the ask. The keeper does not read it, but uses the Rule of the Ask.
 	Rule   string
 	Result Result
-	Took   time.Duration
-	// Slowness is how long work takes at the target now relative to usual, as stated by the target;
-	// 0 if it states none.
+	// Took is the time from sending the request to the target's response.
+	Took time.Duration
+	// Slowness is how many times as long as usual work takes at the target now, as it reports; 0 if
+	// it reports none. It counts as slowness relative to an average target.
 	Slowness float64
-	// Heard says that the target has answered. Limit is then how many requests a second it accepts
-	// from all instances together; 0 means no limit.
+	// Heard is set if the target has responded, whatever Result is. Limit is then how many requests
+	// a second it accepts from all instances together; 0 means no limit.
 	Heard bool
 	Limit float64
 }
@@ -98,17 +106,18 @@
 
 // Reasons for refusals.
 const (
-	// ReasonFull: the wait in the queue is longer than the request has time for.
+	// ReasonFull: the ask was not queued, because the expected wait for a slot is longer than the
+	// request has time for.
 	ReasonFull = "full"
 	// ReasonNoTarget: the service has no target that the ask allows.
 	ReasonNoTarget = "no-target"
-	// ReasonBusy: no slot is free and the ask is not to be queued. RetryAfter is how long it would
-	// wait.
+	// ReasonBusy: no slot is free and the ask has NoQueue set. RetryAfter is how long it would wait
+	// in the queue.
 	ReasonBusy = "busy"
 	// ReasonSuspect: a target has crashed during this request, and another request with the same
 	// suspect ID is running now.
 	ReasonSuspect = "suspect"
-	// ReasonLate: the request has waited, and too little of its time is left.
+	// ReasonLate: the ask was queued, and too little of the request's time is left now.
 	ReasonLate = "late"
 )
 
@@ -116,14 +125,16 @@
 type Target struct {
 	ID         string
 	DataCentre string
-	Slots      int
+	// Slots is the number of requests that the target runs at a time.
+	Slots int
 	// ColdUntil is when the target stops being cold.
 	ColdUntil clock.Instant
-	// ColdRate is how many requests a second the target takes while it is cold; 0 means unlimited.
+	// ColdRate is how many requests a second the target accepts while it is cold; 0 means no limit.
 	ColdRate float64
 }
 
-// IsCold reports whether the target is limited to its cold rate now.
+// IsCold reports whether the target is limited to its cold rate now. It is false if no cold rate is
+// known.
 func (t Target) IsCold(now clock.Instant) bool { return t.ColdRate > 0 && now < t.ColdUntil }
 
 // waiter is an ask and its place in the queue.
@@ -132,8 +143,8 @@
 	arrived  clock.Instant
 	aim      clock.Instant
 	deadline clock.Instant
-	// expected is the time that the request should take at an average target; expectedNow is the
-	// time at the current mean slowness of the pool.
+	// expected is the time that the request should take at an average target; expectedNow is that
+	// time multiplied by the current mean slowness of the pool.
 	expected, expectedNow time.Duration
 	done                  chan decision
 }
@@ -161,7 +172,8 @@
 	return w.arrived.Add(time.Duration(w.ask.Priority) * w.expected)
 }
 
-// inTime reports whether the request would probably be answered within its aim if it were sent now.
+// inTime reports whether the request may still be answered within its aim if it is sent now, even
+// if it takes only half as long as expected.
 func (w *waiter) inTime(now clock.Instant) bool {
 	return now.Add(w.expectedNow/2) < w.aim
 }
