--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -11,7 +11,8 @@
 )
 
 // Fingerprint identifies the content of a request: requests with the same method, path, query and
-// body have the same one, whatever their request IDs and through whichever instance they arrive.
+// body have the same fingerprint, whatever their request IDs and through whichever instance they
+// arrive.
 // The host is left out, because a caller that addresses instances one by one puts a different name
 // into each request.
 type Fingerprint uint64
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -66,145 +66,145 @@
 	return quarantine.Identity{Fingerprint: 7, Caller: caller}
 }
 
-func quarantined(r *quarantine.Tracker, id quarantine.Identity) bool {
-	_, is := r.Quarantined(id)
+func quarantined(tr *quarantine.Tracker, id quarantine.Identity) bool {
+	_, is := tr.Quarantined(id)
 	return is
 }
 
-var _ = Describe("a registry", func() {
+var _ = Describe("a tracker", func() {
 	var (
-		c *wallClock
-		r *quarantine.Tracker
+		c  *wallClock
+		tr *quarantine.Tracker
 	)
 	BeforeEach(func() {
 		c = newClock()
-		r = quarantine.NewTracker(c.Now)
+		tr = quarantine.NewTracker(c.Now)
 	})
 
 	It("quarantines a request during which two targets have crashed, for its caller only", func() {
-		Expect(r.RecordCrash(requestBy(1), "t1")).To(BeFalse())
+		Expect(tr.RecordCrash(requestBy(1), "t1")).To(BeFalse())
 		c.advance(4 * time.Second)
-		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeTrue())
-		Expect(quarantined(r, requestBy(1))).To(BeTrue())
-		Expect(quarantined(r, requestBy(2))).To(BeFalse())
-		Expect(quarantined(r, quarantine.Identity{Fingerprint: 8, Caller: 1})).To(BeFalse())
+		Expect(tr.RecordCrash(requestBy(1), "t2")).To(BeTrue())
+		Expect(quarantined(tr, requestBy(1))).To(BeTrue())
+		Expect(quarantined(tr, requestBy(2))).To(BeFalse())
+		Expect(quarantined(tr, quarantine.Identity{Fingerprint: 8, Caller: 1})).To(BeFalse())
 	})
 
 	It("counts a target that crashes during two attempts of a request once", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		Expect(r.RecordCrash(requestBy(1), "t1")).To(BeFalse())
+		tr.RecordCrash(requestBy(1), "t1")
+		Expect(tr.RecordCrash(requestBy(1), "t1")).To(BeFalse())
 	})
 
 	// A caller behind several gateways has another address each time.
 	It("quarantines for all callers a request that has crashed targets for two callers", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		Expect(r.RecordCrash(requestBy(2), "t2")).To(BeTrue())
-		Expect(quarantined(r, requestBy(3))).To(BeTrue())
+		tr.RecordCrash(requestBy(1), "t1")
+		Expect(tr.RecordCrash(requestBy(2), "t2")).To(BeTrue())
+		Expect(quarantined(tr, requestBy(3))).To(BeTrue())
 	})
 
 	It("keeps a quarantine however many callers lose the last target at once (guards against forgetting previous targets)", func() {
-		r.RecordCrash(requestBy(1), "t1")
+		tr.RecordCrash(requestBy(1), "t1")
 		c.advance(4 * time.Second)
 		for caller := range uint64(9) {
 			c.advance(time.Millisecond)
-			r.RecordCrash(requestBy(10+caller), "t2")
-			Expect(quarantined(r, requestBy(3))).To(BeTrue())
+			tr.RecordCrash(requestBy(10+caller), "t2")
+			Expect(quarantined(tr, requestBy(3))).To(BeTrue())
 		}
 		c.advance(4 * time.Second)
 		for caller := range uint64(9) {
-			r.RecordCrash(requestBy(30+caller), "t3")
+			tr.RecordCrash(requestBy(30+caller), "t3")
 		}
-		Expect(quarantined(r, requestBy(3))).To(BeTrue())
+		Expect(quarantined(tr, requestBy(3))).To(BeTrue())
 		next := quarantine.NewTracker(c.Now)
-		next.Merge(r.Unreported())
+		next.Merge(tr.Unreported())
 		Expect(quarantined(next, requestBy(3))).To(BeTrue())
 	})
 
-	// Guards against refusing a common request because two targets ended for some other reason
-	// while they ran it, although other targets continue to answer it.
+	// Guards against refusing a common request because two targets exited for some other reason
+	// while they ran it, although other targets continue to respond to it.
 	It("does not quarantine a request that was answered between crashes", func() {
-		r.RecordCrash(requestBy(1), "t1")
+		tr.RecordCrash(requestBy(1), "t1")
 		c.advance(time.Second)
-		r.RecordResponse(requestBy(1))
-		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeFalse())
-		r.RecordResponse(requestBy(3))
-		Expect(r.RecordCrash(requestBy(2), "t3")).To(BeFalse())
+		tr.RecordResponse(requestBy(1))
+		Expect(tr.RecordCrash(requestBy(1), "t2")).To(BeFalse())
+		tr.RecordResponse(requestBy(3))
+		Expect(tr.RecordCrash(requestBy(2), "t3")).To(BeFalse())
 	})
 
-	It("does not count an answer to one caller as an answer to another", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		r.RecordResponse(requestBy(2))
-		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeTrue())
-		Expect(quarantined(r, requestBy(2))).To(BeFalse())
+	It("does not count a response to one caller as a response to another", func() {
+		tr.RecordCrash(requestBy(1), "t1")
+		tr.RecordResponse(requestBy(2))
+		Expect(tr.RecordCrash(requestBy(1), "t2")).To(BeTrue())
+		Expect(quarantined(tr, requestBy(2))).To(BeFalse())
 	})
 
-	It("treats an answer as later than a crash that was recorded by a clock that is ahead", func() {
+	It("treats a response as later than a crash that was recorded by a clock that is ahead", func() {
 		ahead := &wallClock{now: c.now.Add(5 * time.Second)}
 		other := quarantine.NewTracker(ahead.Now)
 		other.RecordCrash(requestBy(1), "t1")
-		r.Merge(other.Unreported())
-		r.RecordResponse(requestBy(1))
+		tr.Merge(other.Unreported())
+		tr.RecordResponse(requestBy(1))
 		ahead.advance(time.Second)
-		r.Merge(other.Unreported())
-		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeFalse())
+		tr.Merge(other.Unreported())
+		Expect(tr.RecordCrash(requestBy(1), "t2")).To(BeFalse())
 	})
 
 	It("lists quarantined requests and releases them", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		Expect(r.List()).To(BeEmpty())
-		Expect(r.Release(7)).To(BeFalse())
-		r.RecordCrash(requestBy(1), "t2")
-		r.RecordCrash(requestBy(2), "t3")
-		list := r.List()
+		tr.RecordCrash(requestBy(1), "t1")
+		Expect(tr.List()).To(BeEmpty())
+		Expect(tr.Release(7)).To(BeFalse())
+		tr.RecordCrash(requestBy(1), "t2")
+		tr.RecordCrash(requestBy(2), "t3")
+		list := tr.List()
 		Expect(list).To(HaveLen(1))
 		Expect(list[0].Fingerprint).To(Equal(quarantine.Fingerprint(7)))
 		Expect(list[0].Targets).To(Equal(3))
 		Expect(list[0].Callers).To(Equal(2))
 		Expect(quarantine.ParseFingerprint(list[0].Fingerprint.String())).To(Equal(quarantine.Fingerprint(7)))
-		Expect(r.Release(7)).To(BeTrue())
-		Expect(r.List()).To(BeEmpty())
+		Expect(tr.Release(7)).To(BeTrue())
+		Expect(tr.List()).To(BeEmpty())
 		for caller := range uint64(4) {
-			Expect(quarantined(r, requestBy(caller))).To(BeFalse())
+			Expect(quarantined(tr, requestBy(caller))).To(BeFalse())
 		}
 		c.advance(time.Second)
-		r.RecordCrash(requestBy(1), "t4")
-		Expect(r.RecordCrash(requestBy(1), "t5")).To(BeTrue())
+		tr.RecordCrash(requestBy(1), "t4")
+		Expect(tr.RecordCrash(requestBy(1), "t5")).To(BeTrue())
 	})
 
 	It("forgets crashes and quarantines after their time", func() {
-		r.RecordCrash(requestBy(1), "t1")
+		tr.RecordCrash(requestBy(1), "t1")
 		c.advance(11 * time.Minute)
-		Expect(r.RecordCrash(requestBy(1), "t2")).To(BeFalse())
-		Expect(r.RecordCrash(requestBy(1), "t3")).To(BeTrue())
+		Expect(tr.RecordCrash(requestBy(1), "t2")).To(BeFalse())
+		Expect(tr.RecordCrash(requestBy(1), "t3")).To(BeTrue())
 		c.advance(23 * time.Hour)
-		Expect(quarantined(r, requestBy(1))).To(BeTrue())
+		Expect(quarantined(tr, requestBy(1))).To(BeTrue())
 		c.advance(2 * time.Hour)
-		Expect(quarantined(r, requestBy(1))).To(BeFalse())
+		Expect(quarantined(tr, requestBy(1))).To(BeFalse())
 	})
 
-	// Guards against losing a quarantine when a data centre is lost and crashes are recorded for
-	// thousands of requests that were running there.
+	// Guards against losing a quarantine when all targets of a data centre exit, and crashes are
+	// recorded for the thousands of requests that were running there.
 	It("keeps quarantined requests when many other crashes are recorded", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		r.RecordCrash(requestBy(1), "t2")
+		tr.RecordCrash(requestBy(1), "t1")
+		tr.RecordCrash(requestBy(1), "t2")
 		for n := range 2000 {
 			c.advance(time.Millisecond)
-			r.RecordCrash(quarantine.Identity{Fingerprint: quarantine.Fingerprint(100 + n), Caller: 9}, "t3")
+			tr.RecordCrash(quarantine.Identity{Fingerprint: quarantine.Fingerprint(100 + n), Caller: 9}, "t3")
 		}
-		Expect(quarantined(r, requestBy(1))).To(BeTrue())
-		Expect(len(r.Unreported())).To(BeNumerically("<=", 256))
+		Expect(quarantined(tr, requestBy(1))).To(BeTrue())
+		Expect(len(tr.Unreported())).To(BeNumerically("<=", 256))
 	})
 
-	It("keeps the answer to a caller however many other callers get answers", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		r.RecordResponse(requestBy(1))
+	It("keeps the response to a caller however many other callers get responses", func() {
+		tr.RecordCrash(requestBy(1), "t1")
+		tr.RecordResponse(requestBy(1))
 		for caller := uint64(10); caller < 60; caller++ {
 			c.advance(time.Second)
-			r.RecordCrash(requestBy(caller), "t2")
-			r.RecordResponse(requestBy(caller))
-			r.RecordResponse(requestBy(caller + 100))
+			tr.RecordCrash(requestBy(caller), "t2")
+			tr.RecordResponse(requestBy(caller))
+			tr.RecordResponse(requestBy(caller + 100))
 		}
-		Expect(r.RecordCrash(requestBy(1), "t3")).To(BeFalse())
+		Expect(tr.RecordCrash(requestBy(1), "t3")).To(BeFalse())
 	})
 
 	// Guards against losing the lease: the row is written together with it, so the store must not
@@ -212,24 +212,24 @@
 	It("stays within the size that the store accepts", func() {
 		for n := range uint64(1000) {
 			for target := range uint64(4) {
-				r.RecordCrash(quarantine.Identity{Fingerprint: quarantine.Fingerprint(1<<63 + n), Caller: 1<<63 + n}, fmt.Sprint("t", n, "-", target))
+				tr.RecordCrash(quarantine.Identity{Fingerprint: quarantine.Fingerprint(1<<63 + n), Caller: 1<<63 + n}, fmt.Sprint("t", n, "-", target))
 			}
 		}
-		text, err := r.PendingWrite()
+		text, err := tr.PendingWrite()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(text)).To(And(BeNumerically(">", 10_000), BeNumerically("<", 60_000)))
 	})
 
-	It("is restored from the row in the store", func() {
-		r.RecordCrash(requestBy(1), "t1")
-		text, err := r.PendingWrite()
+	It("loads quarantined requests from the row in the store", func() {
+		tr.RecordCrash(requestBy(1), "t1")
+		text, err := tr.PendingWrite()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(BeNil(), "one crash does not quarantine a request")
-		r.RecordCrash(requestBy(1), "t2")
-		text, err = r.PendingWrite()
+		tr.RecordCrash(requestBy(1), "t2")
+		text, err = tr.PendingWrite()
 		Expect(err).NotTo(HaveOccurred())
-		r.MarkStored(text)
-		again, err := r.PendingWrite()
+		tr.MarkStored(text)
+		again, err := tr.PendingWrite()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(BeNil(), "the row is up to date")
 
@@ -250,7 +250,7 @@
 	follower.Adopt(leader.UpdateSince(since))
 }
 
-var _ = Describe("registries of several instances", func() {
+var _ = Describe("trackers of several instances", func() {
 	c := newClock()
 	var a, b, d *quarantine.Tracker
 	BeforeEach(func() {
@@ -264,8 +264,8 @@
 		exchange(b, a)
 		exchange(d, a)
 		exchange(b, a)
-		for _, r := range []*quarantine.Tracker{a, b, d} {
-			Expect(quarantined(r, requestBy(1))).To(BeTrue())
+		for _, tr := range []*quarantine.Tracker{a, b, d} {
+			Expect(quarantined(tr, requestBy(1))).To(BeTrue())
 		}
 		Expect(b.Unreported()).To(BeEmpty())
 		Expect(d.Unreported()).To(BeEmpty())
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// CrashLimit is the number of targets that crash during a request before it is quarantined. A
-	// single one may have ended for any other reason.
+	// CrashLimit is the number of crashed targets at which a request is quarantined. A single one
+	// may have exited for any other reason.
 	CrashLimit = 2
 	// quarantineDuration is how long a quarantine lasts after the last crash.
 	quarantineDuration = 24 * time.Hour
-	// suspectDuration is how long a request with fewer crashes is remembered after the last one.
+	// suspectDuration is how long a request with fewer crashes is recorded after its last crash or
+	// response.
 	suspectDuration = 10 * time.Minute
-	// maxEntries bounds the number of recorded requests. For each of them, the last crashes of
+	// maxEntries limits the number of recorded requests. For each of them, the last crashes of
 	// maxTargets targets and of maxCallers callers are recorded. The whole table is sent to all
 	// instances whenever something is added: 256 entries with one crash each take about 10 KB.
 	maxEntries = 256
 	maxTargets = 3
 	maxCallers = 3
-	// maxAnswers bounds the recorded answers of each request: one for each caller with a recorded
-	// crash and one for all other callers, with some reserve for answers that arrive in another
-	// order.
-	maxAnswers = 16
-	// maxStoredEntries bounds the row in the store to 48 KB; the store accepts 64 KB. The row is
+	// maxResponses limits the recorded responses to each request: one to each caller with a
+	// recorded crash and one to all other callers, with some reserve for responses that become
+	// known in another order.
+	maxResponses = 16
+	// maxStoredEntries limits the row in the store to 48 KB; the store accepts 64 KB. The row is
 	// written together with the lease, which could not be renewed if the store refused the row.
 	maxStoredEntries = 100
 )
@@ -35,41 +36,45 @@
 // otherCallers stands for all callers without recorded crashes.
 const otherCallers = 0
 
-// Crash is the end of a target while it ran a request.
+// Crash is the exit of a target while it ran a request.
 type Crash struct {
 	// Target is the hash of the crashed target's ID, which changes when the target restarts. Caller
-	// identifies the sender of the request.
+	// is the hash of the address of the request's caller, see Identity.
 	Target uint64 `json:"target"`
 	Caller uint64 `json:"caller"`
 	// At is in Unix milliseconds, by the clock of the instance that saw the crash.
 	At int64 `json:"at"`
 }
 
-// Response records that a request was answered, so it does not crash every target.
+// Response records that a target has responded to a request, so the request does not crash every
+// target.
 type Response struct {
+	// Caller is the hash of the caller's address; 0 stands for all callers without recorded
+	// crashes.
 	Caller uint64 `json:"caller"`
-	// At is in Unix milliseconds. It is not before any crash that was known where the answer
-	// arrived.
+	// At is in Unix milliseconds, by the clock of the instance that got the response. It is at
+	// least the time of the last crash that this instance knew: the clock that recorded the crash
+	// may be ahead.
 	At int64 `json:"at"`
 }
 
-// Entry is what is known about a request.
+// Entry holds the recorded crashes of a request, and the responses to it.
 type Entry struct {
 	Crashes []Crash    `json:"crashes"`
 	Answers []Response `json:"answers,omitempty"`
 }
 
-// Table is what is known about all requests. It is immutable once it is in use.
+// Table holds the entries of all requests. It is immutable once it is in use.
 type Table map[Fingerprint]Entry
 
 // quarantined reports whether the request of a caller must not reach any target.
 func (e Entry) quarantined(caller uint64) bool {
-	own := e.crashesAfter(e.lastAnswerAt(func(a Response) bool { return a.Caller == caller }))
+	own := e.crashesAfter(e.lastResponseAt(func(r Response) bool { return r.Caller == caller }))
 	own = slices.DeleteFunc(own, func(c Crash) bool { return c.Caller != caller })
 	if countDistinct(own, Crash.target) >= CrashLimit {
 		return true
 	}
-	all := e.crashesAfter(e.lastAnswerAt(func(Response) bool { return true }))
+	all := e.crashesAfter(e.lastResponseAt(func(Response) bool { return true }))
 	return countDistinct(all, Crash.target) >= CrashLimit && countDistinct(all, Crash.caller) >= CrashLimit
 }
 
@@ -82,9 +87,9 @@
 	return slices.DeleteFunc(slices.Clone(e.Crashes), func(c Crash) bool { return c.At <= at })
 }
 
-// lastAnswerAt returns the time of the last answer that counts, in Unix milliseconds; 0 if there is
-// none.
-func (e Entry) lastAnswerAt(counts func(Response) bool) int64 {
+// lastResponseAt returns the time of the last response that counts, in Unix milliseconds; 0 if
+// there is none.
+func (e Entry) lastResponseAt(counts func(Response) bool) int64 {
 	at := int64(0)
 	for _, a := range e.Answers {
 		if counts(a) {
@@ -117,13 +122,13 @@
 	return at
 }
 
-// lastEventAt returns the time of the last crash or answer, in Unix milliseconds. An answer may
+// lastEventAt returns the time of the last crash or response, in Unix milliseconds. A response may
 // become known before the crash that it followed.
 func (e Entry) lastEventAt() int64 {
-	return max(e.lastCrashAt(), e.lastAnswerAt(func(Response) bool { return true }))
+	return max(e.lastCrashAt(), e.lastResponseAt(func(Response) bool { return true }))
 }
 
-// expiresAt returns when the entry is dropped.
+// expiresAt returns when the entry is deleted.
 func (e Entry) expiresAt() time.Time {
 	if e.quarantinedForAny() {
 		return time.UnixMilli(e.lastCrashAt()).Add(quarantineDuration)
@@ -134,19 +139,19 @@
 // expired reports whether the entry no longer counts.
 func (e Entry) expired(now time.Time) bool { return !now.Before(e.expiresAt()) }
 
-// merged returns the union of two entries, within the bounds.
+// merged returns the union of two entries, within the limits on crashes and responses.
 func (e Entry) merged(f Entry) Entry {
-	crashes := boundCrashes(union(e.Crashes, f.Crashes, compareCrashes, func(c Crash) int64 { return c.At }))
-	answers := union(e.Answers, f.Answers, func(a, b Response) int { return cmp.Compare(a.Caller, b.Caller) }, func(a Response) int64 { return a.At })
-	return Entry{Crashes: crashes, Answers: boundAnswers(answers, crashes)}.sorted()
+	crashes := limitCrashes(union(e.Crashes, f.Crashes, compareCrashes, func(c Crash) int64 { return c.At }))
+	responses := union(e.Answers, f.Answers, func(a, b Response) int { return cmp.Compare(a.Caller, b.Caller) }, func(a Response) int64 { return a.At })
+	return Entry{Crashes: crashes, Answers: limitResponses(responses, crashes)}.sorted()
 }
 
-// boundAnswers returns, of a list sorted from latest to earliest, the answers to callers with
-// recorded crashes, which would count again without these answers, and the latest of the others.
-func boundAnswers(list []Response, crashes []Crash) []Response {
-	remaining := maxAnswers - maxTargets - maxCallers
-	return slices.DeleteFunc(list, func(a Response) bool {
-		if slices.ContainsFunc(crashes, func(c Crash) bool { return c.Caller == a.Caller }) {
+// limitResponses returns, of a list sorted from latest to earliest, the responses to callers with
+// recorded crashes, which would count again without these responses, and the latest of the others.
+func limitResponses(list []Response, crashes []Crash) []Response {
+	remaining := maxResponses - maxTargets - maxCallers
+	return slices.DeleteFunc(list, func(r Response) bool {
+		if slices.ContainsFunc(crashes, func(c Crash) bool { return c.Caller == r.Caller }) {
 			return false
 		}
 		remaining--
@@ -166,11 +171,11 @@
 	return cmp.Or(cmp.Compare(a.Target, b.Target), cmp.Compare(a.Caller, b.Caller))
 }
 
-// boundCrashes returns, of a list sorted from latest to earliest, the last crash of each of the
+// limitCrashes returns, of a list sorted from latest to earliest, the last crash of each of the
 // latest targets and of each of the latest callers. Many callers may lose one target at once: if
 // only the latest crashes were kept, the previous target would be forgotten, and with it that two
 // targets have crashed. The result does not depend on the order in which crashes become known.
-func boundCrashes(list []Crash) []Crash {
+func limitCrashes(list []Crash) []Crash {
 	targets, callers := map[uint64]bool{}, map[uint64]bool{}
 	return slices.DeleteFunc(list, func(c Crash) bool {
 		ofTarget := addUpTo(targets, c.Target, maxTargets)
@@ -188,8 +193,8 @@
 	return true
 }
 
-// union joins two lists, sorted from latest to earliest. Of two elements that compare as equal it
-// keeps the later one.
+// union returns the elements of two lists, sorted from latest to earliest. Of elements that compare
+// as equal it includes the latest one.
 func union[T any](a, b []T, compare func(T, T) int, at func(T) int64) []T {
 	list := slices.Concat(a, b)
 	slices.SortFunc(list, func(x, y T) int { return cmp.Or(compare(x, y), cmp.Compare(at(y), at(x))) })
@@ -213,13 +218,13 @@
 			}
 		}
 	}
-	out.bound(maxEntries)
+	out.limitEntries(maxEntries)
 	return out
 }
 
-// bound removes entries beyond a number: first those that are not quarantined, and the oldest
-// first.
-func (t Table) bound(limit int) {
+// limitEntries removes entries until at most limit are left: first those that are not quarantined,
+// and among equals the oldest ones.
+func (t Table) limitEntries(limit int) {
 	if len(t) <= limit {
 		return
 	}
@@ -268,7 +273,7 @@
 func (t Table) encode() ([]byte, error) {
 	quarantined := maps.Clone(t)
 	maps.DeleteFunc(quarantined, func(_ Fingerprint, e Entry) bool { return !e.quarantinedForAny() })
-	quarantined.bound(maxStoredEntries)
+	quarantined.limitEntries(maxStoredEntries)
 	text, err := json.Marshal(quarantined)
 	if err != nil {
 		return nil, fmt.Errorf("quarantine: encode table: %w", err)
@@ -276,7 +281,7 @@
 	return text, nil
 }
 
-// Decode parses the stored form.
+// Decode decodes the stored form of a Table.
 func Decode(text []byte) (Table, error) {
 	var t Table
 	if err := json.Unmarshal(text, &t); err != nil {
