--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -1,7 +1,12 @@
-// Package demand measures how much work arrives for which key, and how fast targets answer. Each
+// Package demand measures how much work arrives for which key, and how slow targets are. Each
 // instance collects measurements, and the leader aggregates the reports of all instances.
 //
-// Lock order: the locks of Collector and Aggregator are leaves.
+// The work of a request is the time that an average target takes for it, estimated as the mean of
+// its rule. The slowness of a target is how many times as long as an average target it takes; its
+// speed is 1/slowness. A target may report its slowness, as how many times as long as usual its
+// work takes now. A reported value is used as if the target's usual speed were average.
+//
+// Lock order: no other lock is taken while the lock of a Collector or an Aggregator is held.
 package demand
 
 import (
@@ -17,22 +22,24 @@
 // smoothing is the weight of a new value in a running mean.
 const smoothing = 0.05
 
-// initialMean is the assumed mean duration of a rule's requests before the first answer.
+// initialMean is the assumed mean duration and mean work of a rule's requests before the first
+// response, and the assumed mean work for a service before the first request.
 const initialMean = 100 * time.Millisecond
 
 // Collector collects the measurements of one instance. It is safe for concurrent use.
 type Collector struct {
 	mu sync.Mutex
-	// work is the work that has arrived for each key since the last call of Drain, in seconds.
+	// work is the work that has arrived for each key, and targetStats are the statistics of targets
+	// by target ID, since the last call of TakeMeasurements. Work is in seconds.
 	work        map[workKey]float32
 	targetStats map[string]*peerapi.TargetStats
 	// ruleDurations are the mean durations of each rule's requests.
 	ruleDurations map[string]time.Duration
-	// ruleWork are the mean durations of each rule's requests at a target of average speed.
+	// ruleWork is the mean work of each rule's requests.
 	ruleWork map[string]time.Duration
-	// ruleSizes are the mean sizes of each rule's answers, in bytes.
+	// ruleSizes are the mean sizes of each rule's responses, in bytes.
 	ruleSizes map[string]float64
-	// serviceWork is the mean work of the requests for each service, in seconds.
+	// serviceWork is the mean work of the requests for each service's keys, in seconds.
 	serviceWork map[string]float64
 }
 
@@ -66,7 +73,8 @@
 	c.serviceWork[service] = mean + smoothing*(work-mean)
 }
 
-// MeanWork returns the mean work of the requests for a service's keys that arrive at this instance.
+// MeanWork returns the mean work of the requests for a service's keys that arrive at this instance:
+// the time that an average target takes for one. It returns 100 ms before the first request.
 func (c *Collector) MeanWork(service string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +85,7 @@
 	return time.Duration(mean * float64(time.Second))
 }
 
-// durationOf returns the mean duration of a rule's requests. The caller holds the lock.
+// durationOf returns the mean duration of a rule's requests. The caller must hold the lock.
 func (c *Collector) durationOf(rule string) time.Duration {
 	if mean, ok := c.ruleDurations[rule]; ok {
 		return mean
@@ -85,8 +93,7 @@
 	return initialMean
 }
 
-// workOf returns the mean duration of a rule's requests at a target of average speed. The caller
-// holds the lock.
+// workOf returns the mean work of a rule's requests. The caller must hold the lock.
 func (c *Collector) workOf(rule string) time.Duration {
 	if work, ok := c.ruleWork[rule]; ok {
 		return work
@@ -94,53 +101,56 @@
 	return initialMean
 }
 
-// MeanDuration returns the mean duration of a rule's requests.
+// MeanDuration returns the mean time that targets take to respond to a rule's requests; 100 ms
+// before the first response. In contrast to the mean work, it contains the slowness of the targets.
 func (c *Collector) MeanDuration(rule string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.durationOf(rule)
 }
 
-// MeanResponseSize returns the mean size of a rule's answers, in bytes; 0 before the first answer.
+// MeanResponseSize returns the mean size of the bodies of a rule's responses, in bytes; 0 before
+// the first response.
 func (c *Collector) MeanResponseSize(rule string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ruleSizes[rule]
 }
 
-// Response is what is measured about an answer of a target.
+// Response holds the measurements of a target's response.
 type Response struct {
+	// Took is the time from sending the request to the response.
 	Took time.Duration
 	// Size is the size of the body, in bytes.
 	Size int
-	// Slowness is how long work takes at the target now relative to usual, as stated by the target;
-	// 0 if it states none.
+	// Slowness is how many times as long as usual work takes at the target now, as it reports; 0 if
+	// it reports none. It counts as slowness relative to an average target.
 	Slowness float64
 	// Limit is how many requests a second the target accepts from all instances together; 0 means
 	// no limit.
 	Limit float64
 }
 
-// RecordResponse records an answer of a target to a request of a rule.
-func (c *Collector) RecordResponse(target, rule string, a Response) {
+// RecordResponse records a response of a target to a request of a rule.
+func (c *Collector) RecordResponse(target, rule string, r Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if mean, known := c.ruleSizes[rule]; known {
-		c.ruleSizes[rule] = mean + smoothing*(float64(a.Size)-mean)
+		c.ruleSizes[rule] = mean + smoothing*(float64(r.Size)-mean)
 	} else {
-		c.ruleSizes[rule] = float64(a.Size)
+		c.ruleSizes[rule] = float64(r.Size)
 	}
 	mean, known := c.ruleDurations[rule]
-	slowness, work := a.Slowness, a.Took
+	slowness, work := r.Slowness, r.Took
 	if slowness > 0 {
-		work = time.Duration(float64(a.Took) / slowness)
+		work = time.Duration(float64(r.Took) / slowness)
 	}
 	if !known {
-		c.ruleDurations[rule], c.ruleWork[rule] = a.Took, work
+		c.ruleDurations[rule], c.ruleWork[rule] = r.Took, work
 		return
 	}
 	if slowness == 0 {
-		slowness = float64(a.Took) / float64(mean)
+		slowness = float64(r.Took) / float64(mean)
 	}
 	stats := c.targetStats[target]
 	if stats == nil {
@@ -149,8 +159,8 @@
 	}
 	stats.Count++
 	stats.Slowness += slowness
-	stats.Limit = a.Limit
-	c.ruleDurations[rule] = smoothed(mean, a.Took)
+	stats.Limit = r.Limit
+	c.ruleDurations[rule] = smoothed(mean, r.Took)
 	c.ruleWork[rule] = smoothed(c.ruleWork[rule], work)
 }
 
@@ -159,8 +169,8 @@
 	return mean + time.Duration(smoothing*float64(value-mean))
 }
 
-// AddReport adds what another instance has collected, so that Drain returns it together with this
-// instance's measurements.
+// AddReport adds what another instance has collected, so that TakeMeasurements returns it together
+// with this instance's measurements.
 func (c *Collector) AddReport(work []peerapi.KeyLoad, stats []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +189,8 @@
 	}
 }
 
-// TakeMeasurements returns the measurements since the last call.
+// TakeMeasurements returns the measurements since its last call, and removes them from the
+// Collector.
 func (c *Collector) TakeMeasurements() ([]peerapi.KeyLoad, []peerapi.TargetStats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,34 +208,38 @@
 }
 
 const (
-	// loadTimeConstant is the time over which load is averaged. It is short enough for a hot range
-	// that moves to show within seconds, and long enough that a few more requests do not look like
-	// one.
+	// loadTimeConstant is the time over which load is averaged. It is so short that a range of keys
+	// that becomes hot is visible within seconds, and so long that a few more requests for a range
+	// do not make it look hot.
 	loadTimeConstant = 3 * time.Second
-	// slownessSmoothing is the weight of one answer in a target's slowness.
+	// slownessSmoothing is the weight of one response in a target's slowness.
 	slownessSmoothing = 0.04
-	// maxSlowness bounds the slowness of a target.
+	// maxSlowness limits the slowness of a target.
 	maxSlowness = 10
 )
 
 // Aggregator aggregates the reports of all instances. It is safe for concurrent use.
 type Aggregator struct {
-	mu         sync.Mutex
-	load       map[string]*keyrange.Load
-	arrived    map[string]map[uint16]float32
+	mu sync.Mutex
+	// load is the averaged load of each service's keys, as of averagedAt.
+	load map[string]*keyrange.Load
+	// arrived is the work that has arrived for the keys of each service since averagedAt, in
+	// seconds.
+	arrived map[string]map[uint16]float32
+	// slowness and limits hold the data of targets by target ID.
 	slowness   map[string]float64
-	limits     map[string]statedLimit
+	limits     map[string]reportedLimit
 	averagedAt clock.Instant
 }
 
-// statedLimit is a limit that a target has stated.
-type statedLimit struct {
-	perSecond float64
-	statedAt  clock.Instant
+// reportedLimit is a limit that a target has reported.
+type reportedLimit struct {
+	perSecond  float64
+	reportedAt clock.Instant
 }
 
-// limitValidity is how long a limit remains valid after the target last stated it. A target whose
-// keys have all been moved away gets no requests, so it cannot state that its limit has ended.
+// limitValidity is how long a limit remains valid after the target last reported it. A target whose
+// keys have all been moved away gets no requests, so it cannot report that its limit was lifted.
 const limitValidity = 10 * time.Second
 
 // NewAggregator returns an empty Aggregator.
@@ -233,7 +248,7 @@
 		load:       map[string]*keyrange.Load{},
 		arrived:    map[string]map[uint16]float32{},
 		slowness:   map[string]float64{},
-		limits:     map[string]statedLimit{},
+		limits:     map[string]reportedLimit{},
 		averagedAt: clock.Never,
 	}
 }
@@ -256,7 +271,7 @@
 			old = 1
 		}
 		if s.Limit > 0 {
-			a.limits[s.Target] = statedLimit{s.Limit, now}
+			a.limits[s.Target] = reportedLimit{s.Limit, now}
 		} else {
 			delete(a.limits, s.Target)
 		}
@@ -265,8 +280,8 @@
 	}
 }
 
-// Load returns the averaged load of a service's keys as of now, and the speeds of all targets,
-// where 1 is average. The load is valid until the next call of Load for the service.
+// Load returns the averaged load of a service's keys as of now, in seconds of work a second, and
+// the speeds of all targets, where 1 is average. The load is valid until the next call of Load.
 func (a *Aggregator) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -283,14 +298,14 @@
 	return load, speeds
 }
 
-// Limits returns the limits of the targets that state one, in requests a second from all instances
+// Limits returns the limits of the targets that report one, in requests a second from all instances
 // together.
 func (a *Aggregator) Limits(now clock.Instant) map[string]float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	limits := map[string]float64{}
 	for id, l := range a.limits {
-		if now.Sub(l.statedAt) > limitValidity {
+		if now.Sub(l.reportedAt) > limitValidity {
 			delete(a.limits, id)
 			continue
 		}
@@ -302,8 +317,8 @@
 // minInterval is the minimum time over which arrivals are converted to a rate.
 const minInterval = 200 * time.Millisecond
 
-// updateAverages adds what has arrived since the last update to the averages. The caller holds the
-// lock.
+// updateAverages adds what has arrived since the last update to the averages. The caller must hold
+// the lock.
 func (a *Aggregator) updateAverages(now clock.Instant) {
 	if a.averagedAt == clock.Never {
 		a.averagedAt = now
