--- a/coordination/view/board.go
+++ b/coordination/view/board.go
@@ -17,20 +17,23 @@
 	"lycheehall.example/lycheehall/state/store"
 )
 
-// Snapshot is a consistent, immutable state of everything that the instance knows.
+// Snapshot is everything that the instance knows at one time. It is consistent and immutable.
 type Snapshot struct {
-	// Rules is nil until the first configuration is known.
+	// Rules are the rules in force; nil until the first ones are known. RulesVersion is the version
+	// written in them; the store version at which they were read is Board.RulesReadVersion.
 	Rules        *rules.Set
 	RulesVersion uint64
 
+	// Targets are the known targets, by ID.
 	Targets map[string]Target
-	// ByService lists the targets of each service, sorted by ID.
+	// ByService lists the targets of each service, by service name and sorted by ID.
 	ByService map[string][]Target
-	// TargetsDigest is a hash over the targets, without the fields that change with each heartbeat;
-	// 0 means that there are none. Instances that know the same targets have the same digest,
+	// TargetsDigest is a hash of the targets, without the fields that change with each heartbeat; 0
+	// means that there are none. Instances that know the same targets have the same digest,
 	// wherever they learned of them.
 	TargetsDigest uint64
 
+	// Maps holds the key map of each keyed service, by service name.
 	Maps map[string]*keyrange.Map
 
 	// Evacuations are the evacuated data centres.
@@ -56,12 +59,12 @@
 	return cmp.Or(cmp.Compare(v.Term, w.Term), cmp.Compare(v.Count, w.Count))
 }
 
-// missingGrace is how long a missing target is retained after the registry can be read again. The
-// registry drops entries while its store is unavailable; targets that still run are listed again
-// within two seconds.
+// missingGrace is how long a target that is no longer listed is retained after the registry can be
+// read again. The registry drops entries while its store is unavailable; targets that still run are
+// listed again within two seconds.
 const missingGrace = 2 * time.Second
 
-// maxReadGap is the longest pause between two readings of the registry that doesn't count as an
+// maxReadGap is the longest pause between two reads of the registry that doesn't count as an
 // interruption.
 const maxReadGap = 1500 * time.Millisecond
 
@@ -72,26 +75,27 @@
 	current atomic.Pointer[Snapshot]
 
 	mu sync.Mutex
-	// targetsRead and rulesRead are the store versions at which the registry and the configuration
-	// were last read.
-	targetsRead uint64
-	rulesRead   uint64
-	// targetsAt and rulesAt are the latest times at which the known targets and the known
-	// configuration were current.
-	targetsAt clock.Instant
-	rulesAt   clock.Instant
-	// retained are the known targets that the last reading of the registry did not list.
+	// targetsReadVersion and rulesReadVersion are the store versions at which the registry and the
+	// rules were last read.
+	targetsReadVersion uint64
+	rulesReadVersion   uint64
+	// targetsCurrentAt and rulesCurrentAt are the latest times at which the known targets and the
+	// known rules were current.
+	targetsCurrentAt clock.Instant
+	rulesCurrentAt   clock.Instant
+	// retained are the known targets that were not listed when the registry was last read.
 	retained Retained
-	// uninterruptedSince is when the current run of readings of the registry without an
+	// uninterruptedSince is when the current series of reads of the registry without an
 	// interruption began.
 	uninterruptedSince clock.Instant
-	// restoredAt is when the registry was first read after the store had been restored from a copy.
+	// restoredAt is when the registry was first read after the store had been restored from a
+	// backup.
 	restoredAt clock.Instant
 }
 
 // NewBoard returns a board with an empty snapshot.
 func NewBoard(c clock.Clock) *Board {
-	b := &Board{clock: c, targetsAt: clock.Never, rulesAt: clock.Never, uninterruptedSince: c.Now(), restoredAt: clock.Never}
+	b := &Board{clock: c, targetsCurrentAt: clock.Never, rulesCurrentAt: clock.Never, uninterruptedSince: c.Now(), restoredAt: clock.Never}
 	b.current.Store(&Snapshot{
 		Targets:   map[string]Target{},
 		ByService: map[string][]Target{},
@@ -104,7 +108,7 @@
 // Snapshot returns the current snapshot.
 func (b *Board) Snapshot() *Snapshot { return b.current.Load() }
 
-// publish replaces the current snapshot by a changed copy of it. The caller holds the lock.
+// publish replaces the current snapshot by a changed copy of it. The caller must hold the lock.
 func (b *Board) publish(change func(*Snapshot)) {
 	old := b.current.Load()
 	next := *old
@@ -114,12 +118,12 @@
 	close(old.Changed)
 }
 
-// SetRules adopts a configuration that was current at the given time, unless its version is not
-// above that of the known one. It reports whether the configuration was adopted.
+// SetRules adopts rules that were current at the given time if their version is above that of the
+// known ones. It reports whether they were adopted.
 func (b *Board) SetRules(version uint64, set *rules.Set, at clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rulesAt = b.rulesAt.Later(at)
+	b.rulesCurrentAt = b.rulesCurrentAt.Later(at)
 	old := b.current.Load()
 	if old.Rules != nil && version <= old.RulesVersion {
 		return false
@@ -131,71 +135,72 @@
 	return true
 }
 
-// ConfirmRules records that the known configuration was current at the given time and at the given
-// version of the store.
-func (b *Board) ConfirmRules(read uint64, at clock.Instant) {
+// ConfirmRules records that the known rules were current at the given time and store version.
+func (b *Board) ConfirmRules(storeVersion uint64, at clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rulesRead = max(b.rulesRead, read)
-	b.rulesAt = b.rulesAt.Later(at)
+	b.rulesReadVersion = max(b.rulesReadVersion, storeVersion)
+	b.rulesCurrentAt = b.rulesCurrentAt.Later(at)
 }
 
-// RulesReadVersion returns the store version at which the configuration was last read, by this
-// instance or by the one that sent it; 0 if it is not known.
+// RulesReadVersion returns the store version at which the rules were last read, by this instance or
+// by the one that sent them; 0 if it is not known.
 func (b *Board) RulesReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.rulesRead
+	return b.rulesReadVersion
 }
 
-// SetTargets adopts a reading of the registry at a version of the store, current at the given time.
-// It returns the IDs of the targets that were removed and of those that were added. A reading that
-// is older than the last one is ignored.
-func (b *Board) SetTargets(version uint64, list map[string]Target, at clock.Instant) (gone, added []string) {
+// SetTargets adopts the targets that the registry listed when it was read at the given store
+// version. The list was current at the given time; a list that is older than the last one is
+// ignored. SetTargets returns the IDs of the targets that were removed and of those that were
+// added.
+func (b *Board) SetTargets(storeVersion uint64, list map[string]Target, at clock.Instant) (removed, added []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if version < b.targetsRead {
+	if storeVersion < b.targetsReadVersion {
 		return nil, nil
 	}
-	before := b.targetsRead
-	b.targetsRead = version
-	b.noteRead(at)
-	if before != 0 && store.EraOf(version) > store.EraOf(before) {
+	before := b.targetsReadVersion
+	b.targetsReadVersion = storeVersion
+	b.recordRead(at)
+	if before != 0 && store.EraOf(storeVersion) > store.EraOf(before) {
 		b.restoredAt, b.uninterruptedSince = at, at
 	}
 	return b.publishTargets(b.retainMissing(before, b.current.Load().Targets, list))
 }
 
-// SetLeaderTargets adopts the list of targets that the leader sent, at the version of the store
-// that the leader has read. A target missing from this list is gone, unlike one missing from the
-// first readings after an interruption: the leader has read the registry all the time, or its list
-// includes the targets whose entries may only have lapsed. SetLeaderTargets reports whether the
-// list was adopted as a whole; a list that is older than what this instance has read is not
-// adopted.
+// SetLeaderTargets replaces the known targets by the list of the leader, which read the registry at
+// the given store version. A list older than the last one that this instance adopted is ignored.
+// Targets missing from the list are removed at once, unlike those missing from the first reads
+// after an interruption: the leader has read the registry all the time, or its list includes the
+// targets whose entries may only have lapsed.
 //
-// A target that the sender only retains is not adopted if this instance's own data is newer than
-// the last reading that listed the target: this instance would know the target.
-func (b *Board) SetLeaderTargets(version uint64, list map[string]Target, retained Retained, at clock.Instant) bool {
+// The targets in retained are those that the leader knows though the registry no longer lists them.
+// If this instance's own list is newer than retained.AsOf, it keeps its own entries of these
+// targets and leaves out those that it does not know: if they still ran, it would know them.
+// SetLeaderTargets returns false if it ignored the list or left out any target.
+func (b *Board) SetLeaderTargets(storeVersion uint64, list map[string]Target, retained Retained, at clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if version < b.targetsRead {
+	if storeVersion < b.targetsReadVersion {
 		return false
 	}
 	old := b.current.Load().Targets
 	targets := b.carryOverTimes(old, list)
 	whole := true
-	if b.targetsRead > retained.AsOf {
+	if b.targetsReadVersion > retained.AsOf {
 		whole = preferOwnEntries(targets, old, retained.IDs)
 	}
-	b.targetsRead = version
+	b.targetsReadVersion = storeVersion
 	b.retained = retained
-	b.noteRead(at)
+	b.recordRead(at)
 	b.publishTargets(targets)
 	return whole
 }
 
 // preferOwnEntries replaces the entries of the given targets in the list by this instance's own
-// ones, and deletes those that it doesn't know. It reports whether none was deleted.
+// ones, and deletes those that this instance doesn't know. It reports whether none was deleted.
 func preferOwnEntries(list, own map[string]Target, ids []string) bool {
 	whole := true
 	for _, id := range ids {
@@ -210,12 +215,13 @@
 	return whole
 }
 
-// publishTargets publishes the targets if they have changed. The caller holds the lock.
-func (b *Board) publishTargets(targets map[string]Target) (gone, added []string) {
+// publishTargets publishes the targets if they have changed. It returns the IDs of the removed and
+// of the added ones. The caller must hold the lock.
+func (b *Board) publishTargets(targets map[string]Target) (removed, added []string) {
 	old := b.current.Load()
 	for id := range old.Targets {
 		if _, known := targets[id]; !known {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
 	for id := range targets {
@@ -231,49 +237,50 @@
 		s.Targets = targets
 		s.ByService = byService(targets)
 	})
-	return gone, added
+	return removed, added
 }
 
-// noteRead records that the registry was read at the given time. The caller holds the lock.
-func (b *Board) noteRead(at clock.Instant) {
-	if b.targetsAt == clock.Never || at.Sub(b.targetsAt) > maxReadGap {
+// recordRead records that the registry was read at the given time. The caller must hold the lock.
+func (b *Board) recordRead(at clock.Instant) {
+	if b.targetsCurrentAt == clock.Never || at.Sub(b.targetsCurrentAt) > maxReadGap {
 		b.uninterruptedSince = at
 	}
-	b.targetsAt = b.targetsAt.Later(at)
+	b.targetsCurrentAt = b.targetsCurrentAt.Later(at)
 }
 
 // ConfirmTargets records that the known targets were current at the given time.
 func (b *Board) ConfirmTargets(at clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.noteRead(at)
+	b.recordRead(at)
 }
 
-// TargetsReadVersion returns the store version at which the registry was last read.
+// TargetsReadVersion returns the store version at which the registry was last read, by this
+// instance or by the one that sent the targets.
 func (b *Board) TargetsReadVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.targetsRead
+	return b.targetsReadVersion
 }
 
 // Retained lists targets that are still known though the registry doesn't list them: their entries
 // may only have lapsed.
 type Retained struct {
 	IDs []string
-	// AsOf is the version of the store at which they were last listed, as far as the instance that
-	// retains them knows.
+	// AsOf is the store version at which they were last listed, as far as the instance that retains
+	// them knows.
 	AsOf uint64
 }
 
-// retainMissing adds to a reading the targets that it may lack only because the store was
-// unavailable or was restored from a copy. The parameter before is the version of the previous
-// reading.
+// retainMissing adds to a list read from the registry the targets that it may lack only because the
+// store was unavailable or was restored from a backup. The parameter before is the store version of
+// the previous read.
 func (b *Board) retainMissing(before uint64, old, list map[string]Target) map[string]Target {
 	targets := b.carryOverTimes(old, list)
-	if b.targetsAt.Sub(b.restoredAt) < RestoreGrace {
+	if b.targetsCurrentAt.Sub(b.restoredAt) < RestoreGrace {
 		keepDraining(targets, old)
 	}
-	settled := b.targetsAt.Sub(b.uninterruptedSince) >= missingGrace
+	settled := b.targetsCurrentAt.Sub(b.uninterruptedSince) >= missingGrace
 	retained := Retained{AsOf: before}
 	if len(b.retained.IDs) > 0 {
 		retained.AsOf = b.retained.AsOf
@@ -289,7 +296,7 @@
 	return targets
 }
 
-// Retained returns the known targets that the last reading of the registry did not list.
+// Retained returns the known targets that were not listed when the registry was last read.
 func (b *Board) Retained() Retained {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -300,7 +307,8 @@
 func (b *Board) HasRetained() bool { return len(b.Retained().IDs) > 0 }
 
 // carryOverTimes returns a copy of the list with DrainingAt and ColdUntil set: taken from the old
-// entry if the target was draining, or in the same cold spell, before; counted from now otherwise.
+// entry if the target was already leaving, or is still in the same cold period; counted from now
+// otherwise.
 func (b *Board) carryOverTimes(old, list map[string]Target) map[string]Target {
 	out := maps.Clone(list)
 	now := b.clock.Now()
@@ -323,9 +331,9 @@
 	return out
 }
 
-// superseded reports whether the target has ended because another process has taken its name or its
-// address. A target at the same address that was known before doesn't count: it may be the older of
-// the two.
+// superseded reports whether the target has exited, since the list has another process with its
+// name or its address. A target at the same address that was known before doesn't count: it may be
+// the older of the two.
 func superseded(old, list map[string]Target, t Target) bool {
 	for id, other := range list {
 		if TargetName(id) == TargetName(t.ID) {
@@ -390,10 +398,10 @@
 	return true
 }
 
-// CurrentAsOf returns the latest time at which both the known targets and the known configuration
-// were current.
+// CurrentAsOf returns the latest time at which both the known targets and the known rules were
+// current.
 func (b *Board) CurrentAsOf() clock.Instant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return min(b.targetsAt, b.rulesAt)
+	return min(b.targetsCurrentAt, b.rulesCurrentAt)
 }
--- a/coordination/view/board_test.go
+++ b/coordination/view/board_test.go
@@ -36,7 +36,7 @@
 		b *Board
 	)
 
-	// read adopts a reading of the registry that lists the given targets.
+	// read adopts a list of the given targets, read from the registry at the given time.
 	read := func(at time.Duration, ids ...string) {
 		c.now = clock.Instant(at)
 		b.SetTargets(uint64(at), targetList(ids...), c.now)
@@ -49,7 +49,7 @@
 
 	known := func(id string) bool { _, ok := b.Snapshot().Targets[id]; return ok }
 
-	It("drops a target that the registry has removed, when it was read without interruption", func() {
+	It("drops a target that is no longer listed, when the registry was read without interruption", func() {
 		for at := time.Second; at <= 4*time.Second; at += 400 * time.Millisecond {
 			read(at, "x", "y")
 		}
@@ -57,10 +57,10 @@
 		Expect(known("x")).To(BeFalse())
 	})
 
-	// Guards against requests to targets that have left. An instance that did not read the registry
-	// for 2 s retained the targets that were missing. It became leader, and all others adopted its
-	// list, since it did not say that their data might be newer.
-	It("reports whether it retains targets that the registry lacks", func() {
+	// Guards against requests to targets that have exited. An instance that did not read the
+	// registry for 2 s retained the targets that were missing. It became leader, and all others
+	// adopted its list, since it did not report that their data might be newer.
+	It("reports whether it retains targets that are no longer listed", func() {
 		read(time.Second, "x", "y")
 		Expect(b.HasRetained()).To(BeFalse())
 		read(4*time.Second, "y")
@@ -75,7 +75,7 @@
 
 	// Guards against healthy targets that get no requests after an outage. The store was
 	// unavailable for 5 s and entries lapsed. When it was available again, the targets were listed
-	// again within two seconds, but a missing entry was taken to mean that the target had left.
+	// again within two seconds, but a missing entry was taken to mean that the target had exited.
 	It("retains a target that is missing right after an outage, for two seconds", func() {
 		for at := time.Second; at <= 4*time.Second; at += 400 * time.Millisecond {
 			read(at, "x", "y")
@@ -88,8 +88,8 @@
 		Expect(known("x")).To(BeFalse())
 	})
 
-	// Guards against requests to a target that left 12 s ago. An instance was cut off from the
-	// network while the target left. When it was connected again, the leader sent its targets. The
+	// Guards against requests to a target that exited 12 s ago. An instance was cut off from the
+	// network in the meantime. When it was connected again, the leader sent its targets. The
 	// instance retained the missing one for two seconds, as after an outage of the store, though
 	// the leader had read the registry all the time.
 	It("drops at once a target that is missing from the leader's list", func() {
@@ -101,7 +101,7 @@
 		Expect(known("x")).To(BeFalse())
 	})
 
-	It("does not adopt a target that another instance only retains if its own reading is newer (guards against a relay that was cut off)", func() {
+	It("does not adopt a target that another instance only retains if its own list is newer (guards against a relay that was cut off)", func() {
 		read(time.Second, "x", "y")
 		read(2*time.Second, "y")
 		for at := 2400 * time.Millisecond; at <= 6*time.Second; at += 400 * time.Millisecond {
@@ -113,7 +113,7 @@
 		Expect(known("y")).To(BeTrue())
 	})
 
-	It("adopts a target that another instance retains if its own reading is older", func() {
+	It("adopts a target that another instance retains if its own list is older", func() {
 		read(time.Second, "y")
 		retained := Retained{IDs: []string{"x"}, AsOf: uint64(2 * time.Second)}
 		b.SetLeaderTargets(uint64(7*time.Second), targetList("x", "y"), retained, c.now)
@@ -121,14 +121,14 @@
 		Expect(b.Retained()).To(Equal(retained))
 	})
 
-	It("reports at which version the retained targets were last listed", func() {
+	It("reports the store version at which the retained targets were last listed", func() {
 		read(time.Second, "x", "y")
 		read(4*time.Second, "y")
 		read(4400*time.Millisecond, "y")
 		Expect(b.Retained()).To(Equal(Retained{IDs: []string{"x"}, AsOf: uint64(time.Second)}))
 	})
 
-	It("does not adopt an older list of the leader's", func() {
+	It("does not adopt a list of the leader that is older than its own", func() {
 		read(4*time.Second, "x", "y")
 		Expect(b.SetLeaderTargets(1, targetList("y"), Retained{}, clock.Instant(5*time.Second))).To(BeFalse())
 		Expect(known("x")).To(BeTrue())
@@ -141,11 +141,11 @@
 		Expect(known("x")).To(BeFalse())
 	})
 
-	// Guards against requests to an ended process for two seconds. A target crashed during an
-	// outage of the store and was restarted under its name at another address. The entry of the
-	// former process was missing from the registry, as the entries of running targets are after an
-	// outage.
-	It("drops a missing target of which another process is listed", func() {
+	// Guards against requests to a process that has exited, for two seconds. A target crashed
+	// during an outage of the store and was restarted under its name at another address. The entry
+	// of the former process was missing from the registry, as the entries of running targets are
+	// after an outage.
+	It("drops a missing target if another process is listed under its name", func() {
 		read(time.Second, "x@1")
 		c.now = clock.Instant(10 * time.Second)
 		b.SetTargets(uint64(c.now), map[string]Target{"x@2": {ID: "x@2", Service: "s", Address: "elsewhere"}}, c.now)
@@ -178,7 +178,7 @@
 		Expect(TargetID("i-1", 5)).NotTo(Equal(TargetID("i-1", 6)))
 	})
 
-	It("keeps the time since when a target has been draining", func() {
+	It("keeps the time at which a target began to leave", func() {
 		c.now = clock.Instant(time.Second)
 		list := targetList("x")
 		x := list["x"]
@@ -191,7 +191,7 @@
 		Expect(b.Snapshot().Targets["x"].DrainingAt).To(Equal(clock.Instant(time.Second)))
 	})
 
-	It("keeps targets draining that a store restored from a copy lists as ready", func() {
+	It("keeps targets draining that a store restored from a backup lists as ready", func() {
 		list := targetList("x", "y")
 		x := list["x"]
 		x.Draining = true
@@ -205,7 +205,7 @@
 		Expect(b.Snapshot().Targets["x"].Draining).To(BeTrue())
 	})
 
-	It("retains a target that a store restored from a copy lacks, for two seconds", func() {
+	It("retains a target that a store restored from a backup lacks, for two seconds", func() {
 		for at := time.Second; at <= 4*time.Second; at += 400 * time.Millisecond {
 			b.SetTargets(store.VersionOf(1, uint64(at)), targetList("x", "y"), clock.Instant(at))
 		}
@@ -217,7 +217,7 @@
 		Expect(known("x")).To(BeFalse())
 	})
 
-	It("knows the time at which both the rules and the registry were current", func() {
+	It("returns the latest time at which both the rules and the targets were current", func() {
 		read(5*time.Second, "x")
 		b.ConfirmRules(0, clock.Instant(3*time.Second))
 		Expect(b.CurrentAsOf()).To(Equal(clock.Instant(3 * time.Second)))
--- a/coordination/view/cold.go
+++ b/coordination/view/cold.go
@@ -8,7 +8,7 @@
 
 // ColdUntil returns the time until which a target counts as cold. The targets of a data centre
 // whose evacuation has ended may have been idle, so they count as cold for the service's cold start
-// time; their own entries in the registry say so only a heartbeat later.
+// time; their own entries in the registry show it only a heartbeat later.
 func (s *Snapshot) ColdUntil(t Target) clock.Instant {
 	until := t.ColdUntil
 	endedAt, ended := s.Evacuations.EndedAt[t.DataCentre]
@@ -22,8 +22,8 @@
 	return until.Later(endedAt.Add(time.Duration(service.ColdStart)))
 }
 
-// ColdRate returns how many requests a second a cold target of the service takes; 0 if no limit is
-// known.
+// ColdRate returns how many requests a second a cold target of the service accepts; 0 means no
+// limit.
 func (s *Snapshot) ColdRate(service string) float64 {
 	if s.Rules == nil {
 		return 0
--- a/coordination/view/evacuation.go
+++ b/coordination/view/evacuation.go
@@ -8,9 +8,9 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// Evacuations are the data centres that operators have evacuated: their targets get no requests.
+// Evacuations are the data centres that operators have evacuated: their targets get no new work.
 type Evacuations struct {
-	// Version is the version of the store at which they were last found to have changed.
+	// Version is the store version at which they were last found to have changed.
 	Version uint64
 	// Since is when this instance learned of each evacuation in force, by data centre.
 	Since map[string]clock.Instant
@@ -33,10 +33,10 @@
 	return evacuated && now.Sub(since) >= least
 }
 
-// updated returns the evacuations after a reading at the given version that found those of the
-// listed data centres in force.
-func (e Evacuations) updated(version uint64, list []string, now clock.Instant) Evacuations {
-	next := Evacuations{Version: version, Since: map[string]clock.Instant{}, EndedAt: maps.Clone(e.EndedAt)}
+// updated returns the evacuations after the listed data centres were read as evacuated at the given
+// store version.
+func (e Evacuations) updated(storeVersion uint64, list []string, now clock.Instant) Evacuations {
+	next := Evacuations{Version: storeVersion, Since: map[string]clock.Instant{}, EndedAt: maps.Clone(e.EndedAt)}
 	if next.EndedAt == nil {
 		next.EndedAt = map[string]clock.Instant{}
 	}
@@ -56,20 +56,21 @@
 	return next
 }
 
-// SetEvacuations adopts the list of the data centres that are evacuated at a version of the store,
-// unless this version or a newer one is known. It reports whether the evacuations have changed.
-func (b *Board) SetEvacuations(version uint64, list []string) bool {
+// SetEvacuations adopts the list of the data centres that are evacuated at a store version, unless
+// a change at this version or a newer one is known. It reports whether the evacuations have
+// changed.
+func (b *Board) SetEvacuations(storeVersion uint64, list []string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.current.Load().Evacuations
-	if version <= old.Version {
+	if storeVersion <= old.Version {
 		return false
 	}
 	sorted := slices.Compact(slices.Sorted(slices.Values(list)))
 	if slices.Equal(sorted, old.List()) {
 		return false
 	}
-	b.publish(func(s *Snapshot) { s.Evacuations = old.updated(version, sorted, b.clock.Now()) })
+	b.publish(func(s *Snapshot) { s.Evacuations = old.updated(storeVersion, sorted, b.clock.Now()) })
 	return true
 }
 
@@ -79,14 +80,14 @@
 // the leader changes.
 const evacuationGrace = 2 * time.Second
 
-// Excluded reports whether no request may be sent to the target any more: it has been draining for
-// so long that it may have ended, or its data centre has been evacuated for longer than
-// evacuationGrace.
+// Excluded reports whether no request may be sent to the target any more: it has been leaving for
+// longer than DrainGrace and may have exited, or its data centre has been evacuated for at least
+// evacuationGrace (2 s).
 func (s *Snapshot) Excluded(t Target, now clock.Instant) bool {
 	return t.DrainExpired(now) || s.Evacuations.EvacuatedFor(t.DataCentre, now, evacuationGrace)
 }
 
-// AcceptsNewWork reports whether the target may get new work: it is not draining, and its data
+// AcceptsNewWork reports whether the target may get new work: it is not leaving, and its data
 // centre is not evacuated.
 func (s *Snapshot) AcceptsNewWork(t Target) bool {
 	return !t.Draining && !s.Evacuations.Contains(t.DataCentre)
--- a/coordination/view/evacuation_test.go
+++ b/coordination/view/evacuation_test.go
@@ -34,13 +34,13 @@
 		Expect(s.Excluded(x, c.now.Add(evacuationGrace))).To(BeTrue())
 	})
 
-	It("stays evacuated when an older update arrives (guards against a relay that lags behind)", func() {
+	It("stays evacuated when an older update arrives (guards against a relay with older data)", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		Expect(b.SetEvacuations(4, nil)).To(BeFalse())
 		Expect(b.Snapshot().Evacuations.Contains("dc1")).To(BeTrue())
 	})
 
-	It("keeps its start time when another data centre is evacuated", func() {
+	It("keeps the time of its evacuation when another data centre is evacuated", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		c.now = c.now.Add(time.Second)
 		b.SetEvacuations(6, []string{"dc2", "dc1"})
@@ -48,7 +48,7 @@
 		Expect(b.Snapshot().Evacuations.List()).To(Equal([]string{"dc1", "dc2"}))
 	})
 
-	It("has targets that count as cold when the evacuation ends (guards against a rush before their entries say so)", func() {
+	It("has targets that count as cold when the evacuation ends (guards against too many requests before their entries show it)", func() {
 		b.SetEvacuations(5, []string{"dc1"})
 		b.SetEvacuations(6, nil)
 		s := b.Snapshot()
@@ -67,7 +67,7 @@
 })
 
 var _ = Describe("a cold target", func() {
-	It("is sent with the rest of its cold time, which the receiver counts by its own clock", func() {
+	It("is sent with the rest of its cold period, which the receiver counts by its own clock", func() {
 		c := &fakeClock{now: clock.Instant(time.Hour)}
 		b := NewBoard(c)
 		list := targetList("x")
--- a/coordination/view/target.go
+++ b/coordination/view/target.go
@@ -13,31 +13,34 @@
 	// ID is unique to one start of the process, see TargetID: a restarted process owns no keys and
 	// must not be taken for the former one. All data about a target is stored under its ID.
 	ID string
-	// Born is when the process was started, in Unix milliseconds by its own clock; 0 if it does not
-	// say. It only distinguishes processes and gives no order: clocks may be set back.
+	// Born is when the process was started, in Unix milliseconds by its own clock; 0 if the
+	// registry entry lacks it. It only distinguishes processes and gives no order: clocks may be
+	// set back.
 	Born       int64
 	Service    string
 	Address    string
 	DataCentre string
 	// Slots is the number of requests that the target runs at a time.
 	Slots int
-	// Draining is set when the target is about to leave and takes no new work.
+	// Draining is set when the target is leaving and gets no new work.
 	Draining bool
-	// DrainingAt is when this instance learned that the target is draining.
+	// DrainingAt is when this instance learned that the target is leaving; valid if Draining is
+	// set.
 	DrainingAt clock.Instant
-	// Cold is for how much longer the target is cold, counted from when it was listed or sent. A
-	// cold target is slow and breaks down under a request rate that it can take when it is warm.
+	// Cold is the remaining time for which the target is cold, counted from when it was listed or
+	// sent; 0 if it is not cold. A cold target has just started or has been idle: it is slow, and
+	// fails at a request rate that it accepts when it is warm.
 	Cold time.Duration
-	// ColdSpell identifies one cold time of the target: it is the version of the entry that first
-	// reported it; 0 if the target is not cold.
+	// ColdSpell identifies one cold period of the target: it is the store version of the registry
+	// entry that first reported it; 0 if the target is not cold.
 	ColdSpell uint64
-	// ColdUntil is the end of the cold time by this instance's clock.
+	// ColdUntil is the end of the cold period by this instance's clock.
 	ColdUntil clock.Instant
 }
 
 // EqualForRouting reports whether two entries are equal in all fields that decide where requests
-// go. It ignores the rest of the cold time, which changes with every heartbeat, and the time when
-// the target was found to be draining, which differs between instances.
+// go. It ignores the rest of the cold period, which changes with every heartbeat, and the time when
+// the target was found to be leaving, which differs between instances.
 func (t Target) EqualForRouting(u Target) bool {
 	t.Cold, u.Cold = 0, 0
 	t.ColdUntil, u.ColdUntil = 0, 0
@@ -45,20 +48,20 @@
 	return t == u
 }
 
-// ForSync returns the target as it is sent to another instance: with the rest of its cold time, and
-// without times by this instance's clock.
+// ForSync returns the target as it is sent to another instance: with the rest of its cold period,
+// and without times by this instance's clock.
 func (t Target) ForSync(now clock.Instant) Target {
 	t.Cold = max(0, t.ColdUntil.Sub(now))
 	t.ColdUntil, t.DrainingAt = 0, 0
 	return t
 }
 
-// DrainGrace is how long a draining target still gets requests, counted from when this instance
-// learned that it is draining. It must get none 2 s after it said so; the update takes up to 1.5 s
-// while the leader changes.
+// DrainGrace is how long a leaving target still gets requests, counted from when this instance
+// learned that it is leaving. A target must get no requests 2 s after it has reported that it is
+// leaving; the update takes up to 1.5 s while the leader changes.
 const DrainGrace = 400 * time.Millisecond
 
-// DrainExpired reports whether the target has been draining for so long that it may have ended.
+// DrainExpired reports whether the target has been leaving for so long that it may have exited.
 func (t Target) DrainExpired(now clock.Instant) bool {
 	return t.Draining && now.Sub(t.DrainingAt) > DrainGrace
 }
