--- a/coordination/keyrange/encode.go
+++ b/coordination/keyrange/encode.go
@@ -14,7 +14,7 @@
 	Version uint64   `json:"version"`
 	Targets []string `json:"targets"`
 	// Ranges holds these variable-length integers for each range: the number of keys, the index of
-	// the owner, twice the index of the next owner (plus one if the owner is lost), and for the
+	// the owner, twice the index of the next owner (plus one if Range.Lost is set), and for the
 	// owner and the next owner, where there is one, the version of the map minus the fence.
 	Ranges []byte `json:"ranges"`
 }
@@ -54,10 +54,10 @@
 	return text, nil
 }
 
-// ErrInvalid is returned for data that is not the stored form of a valid map.
+// ErrInvalid is returned for an encoded map, or a patch, that gives no valid map.
 var ErrInvalid = errors.New("keyrange: invalid map")
 
-// Decode reads the stored form of a map. It returns ErrInvalid if the data is not valid.
+// Decode decodes the stored form of a map. It returns ErrInvalid if the data is not valid.
 func Decode(text []byte) (*Map, error) {
 	var e encoded
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -80,15 +80,15 @@
 	return m, nil
 }
 
-// decoder reads the ranges of the stored form one by one.
+// decoder decodes the ranges of the stored form one by one.
 type decoder struct {
 	encoded
 	rest []byte
-	// invalid is set when a number could not be read.
+	// invalid is set when a number could not be decoded.
 	invalid bool
 }
 
-// readRange reads the range that begins at the given key.
+// readRange decodes the range that begins at the given key.
 func (d *decoder) readRange(from uint64) (Range, error) {
 	keys, owner, next := d.uvarint(), d.uvarint(), d.uvarint()
 	targets := uint64(len(d.Targets))
@@ -111,7 +111,7 @@
 	return r, nil
 }
 
-// uvarint reads one number. If there is none, it returns 0 and sets invalid.
+// uvarint decodes one number. If there is none, it returns 0 and sets invalid.
 func (d *decoder) uvarint() uint64 {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 {
--- a/coordination/keyrange/keyrange_test.go
+++ b/coordination/keyrange/keyrange_test.go
@@ -133,7 +133,7 @@
 
 var _ = Describe("a plan", func() {
 	// Guards against an owner that refuses most requests while other targets are idle: a tenth of
-	// the keys gets seven tenths of the work, and all ranges have the same size.
+	// the keys gets seven tenths of the work, and all ranges are of the same size.
 	It("balances a load that is concentrated on few keys", func() {
 		m, targets, load := evenMap(30), capacities(30), &Load{}
 		for key := range load {
@@ -214,8 +214,8 @@
 
 var _ = Describe("reassigning the ranges of many leaving owners", func() {
 	// Guards against a load that is no longer balanced after half of the targets were replaced:
-	// each range of a leaving target was split among four others, which left later, until there
-	// were too many ranges for a row.
+	// each range of a leaving target was split among four others, which were replaced later, until
+	// there were too many ranges for a row.
 	It("reassigns ranges with little work as a whole, to many targets", func() {
 		m, load := evenMap(400), &Load{}
 		for key := range load {
@@ -291,11 +291,11 @@
 	}
 }
 
-// simulate lets requests arrive for some seconds and returns how many are answered and how many are
-// refused. A target runs as many requests at a time as it has slots. Each takes the time work, in
-// seconds, divided by the target's speed. A request that would not be answered within twice the
-// time work is refused. A moved key is not served for the time pause. If plan is set, moves are
-// planned and done twice a second.
+// simulate lets requests arrive for the given seconds and returns how many are answered and how
+// many are refused. A target runs as many requests at a time as it has slots. Each takes the time
+// work, in seconds, divided by the target's speed. A request that would not be answered within
+// twice the time work is refused. A moved key is not served for the time pause. If plan is set,
+// moves are planned and done twice a second.
 func simulate(speeds []float64, perSecond int, pick func() uint16, seconds float64, plan bool) (answered, refused int) {
 	const (
 		slots = 6
@@ -351,8 +351,8 @@
 
 var _ = Describe("a single key that gets a third of all requests", func() {
 	// Guards against refusing two thirds of the requests for a hot key while the fastest target has
-	// capacity left. The key is on an average target and can't be split. Moves were chosen by load
-	// only, and next owners by freeAt capacity only.
+	// capacity left. The key is owned by an average target and can't be split. Moves were chosen by
+	// load only, and next owners by free capacity only.
 	It("is answered as often as the fastest target can answer it", func() {
 		speeds := []float64{0.7, 1, 1.6, 0.7, 1, 1.6, 1, 1}
 		random := rand.New(rand.NewPCG(2, 2))
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -8,18 +8,23 @@
 // MaxKey is the largest key number.
 const MaxKey = 1<<16 - 1
 
-// Range is a contiguous part of the key space with its owner.
+// Range is a contiguous part of the key space with its owner. While it moves to another owner,
+// requests for its keys wait, or are refused if Lost is set.
 type Range struct {
 	// From and To are the first and the last key.
 	From, To uint16
-	// Owner is the ID of the target that owns the keys, under Fence. Empty if no target owns them.
+	// Owner is the ID of the target that owns the keys, and Fence the fence under which they were
+	// granted to it. Empty if no target owns them.
 	Owner string
 	Fence uint64
-	// Next is the ID of the target that gets the keys, under NextFence, once Owner is certain to
-	// have given them up. Empty if the range is not moving.
+	// Next is the ID of the target that gets the keys once Owner has certainly given them up. It
+	// gets them under NextFence, which is above Fence. Empty if the range is not moving.
 	Next      string
 	NextFence uint64
-	// Lost is set when Owner cannot be asked to give the keys up, so that its hold must run out.
+	// Lost is set on a moving range whose Owner cannot be asked to give the keys up: it has exited,
+	// does not answer, or has no known address. Next gets the keys at once if Owner is known to
+	// have exited, otherwise when the last grant to Owner has certainly expired or Owner releases
+	// them after all.
 	Lost bool
 }
 
@@ -56,14 +61,14 @@
 	return m.Ranges[i]
 }
 
-// Editor collects changes of a map that get one new version.
+// Editor collects changes of a map. All of them get the same new version.
 type Editor struct {
 	version uint64
 	ranges  []Range
 	changed bool
 }
 
-// Edit begins a change.
+// Edit returns an editor for the next version of the map.
 func (m *Map) Edit() *Editor {
 	return &Editor{version: m.Version + 1, ranges: slices.Clone(m.Ranges)}
 }
@@ -76,7 +81,7 @@
 func (e *Editor) Changed() bool { return e.changed }
 
 // Move begins to move the keys from..to to the target next. Set lost if their owner cannot be asked
-// to give them up.
+// to give them up (see Range.Lost).
 func (e *Editor) Move(from, to uint16, next string, lost bool) {
 	e.update(from, to, func(r *Range) {
 		r.Next = next
@@ -85,7 +90,7 @@
 	})
 }
 
-// MarkLost records that the owner of the moving keys from..to cannot be asked to give them up.
+// MarkLost records that the owner of the moving keys from..to does not answer.
 func (e *Editor) MarkLost(from, to uint16) {
 	e.update(from, to, func(r *Range) { r.Lost = true })
 }
@@ -97,9 +102,9 @@
 	})
 }
 
-// MergeAdjoining merges adjoining ranges that are served by the same owner, for the owners for
-// which may returns true. The merged range gets the fence of this change: the owner gets a grant
-// for the whole range, which replaces the grants for the parts.
+// MergeAdjoining merges adjoining ranges that are served by the same owner, for owners for which
+// the function may returns true. The merged range gets the fence of this change: the owner gets a
+// grant for the whole range, which replaces the grants for the parts.
 func (e *Editor) MergeAdjoining(may func(owner string) bool) {
 	for i := 1; i < len(e.ranges); i++ {
 		a, b := &e.ranges[i-1], &e.ranges[i]
--- a/coordination/keyrange/plan.go
+++ b/coordination/keyrange/plan.go
@@ -7,26 +7,29 @@
 	"sort"
 )
 
-// Load is the work that arrives for each key, in seconds of a slot of an average target per second.
+// Load is the work that arrives for each key, as the number of slots of an average target that it
+// keeps busy.
 type Load [MaxKey + 1]float32
 
-// Capacity is a target that may own keys, with its capacity: its slots times its speed relative to
-// the average.
+// Capacity is the capacity of a target that may own keys. AverageSlots is the number of slots of an
+// average target that do the same work as the target: its own slots times its speed, unless a limit
+// of requests a second makes it less. The speed is 1/slowness; the slowness is how many times as
+// long as at an average target work takes.
 type Capacity struct {
 	Target       string
 	AverageSlots float64
 }
 
-// Policy sets when ranges are moved to balance the load.
+// Policy sets when ranges are moved to balance the load. A target without keys gets some whatever
+// the policy, within MaxMoves.
 type Policy struct {
-	// Imbalance is the ratio of a target's utilisation to the mean from which on keys are moved
-	// away from it.
+	// Keys are moved away from a target whose utilisation is at least Imbalance times the mean.
 	Imbalance float64
-	// MinDifference is the least difference in utilisation between the source and the destination of a
-	// move. A move stops the keys for as long as their running requests take, so small differences,
-	// which come from noise, are not worth a move.
+	// MinDifference is the least difference in utilisation (1 is the full capacity) between the
+	// source and the destination of a move. The keys of a move are not served for as long as their
+	// running requests take, so small differences, which come from noise, are not worth a move.
 	MinDifference float64
-	// MaxMoves bounds the moves of one plan.
+	// MaxMoves limits the number of moves of one plan.
 	MaxMoves int
 }
 
@@ -36,9 +39,9 @@
 	Next     string
 }
 
-// baselineWork is a load, in slots, that is spread evenly over all keys in addition to the measured
-// one, so that keys without load are distributed too, and only a target without keys counts as
-// empty.
+// baselineWork is a load, in slots of an average target, that is spread evenly over all keys in
+// addition to the measured one. Keys without load are thus distributed too, and only a target
+// without keys counts as empty.
 const baselineWork = 0.5
 
 // targetLoad is the work and the ranges of a target while a plan is made.
@@ -131,12 +134,12 @@
 }
 
 const (
-	// hotKeyShare is the share of its owner's capacity from which on a single key is considered by
-	// itself: its requests queue even if all other keys are moved away.
+	// A key whose work is at least hotKeyShare of its owner's capacity is moved by itself if
+	// another target has enough capacity: its requests queue even if all other keys are moved away.
 	hotKeyShare = 0.75
-	// hotKeyMinGain is the least ratio of the capacity of the next owner of such a key to that of
-	// its owner. The move stops the key for as long as its running requests take, about 0.3 s.
-	hotKeyMinGain = 1.25
+	// hotKeyMinRatio is the least ratio of the capacity of the next owner of such a key to that of
+	// its owner. The key is not served for as long as its running requests take, about 0.3 s.
+	hotKeyMinRatio = 1.25
 )
 
 // nextHotKeyMove finds a single key that is too much for its owner, and moves it to the target with
@@ -153,7 +156,7 @@
 				best = b
 			}
 		}
-		if best.AverageSlots < hotKeyMinGain*a.AverageSlots {
+		if best.AverageSlots < hotKeyMinRatio*a.AverageSlots {
 			continue
 		}
 		p.apply(a, best, Range{From: a.hottestKey, To: a.hottestKey})
@@ -188,9 +191,9 @@
 		if source == nil || source == dest {
 			return Move{}, false
 		}
-		gain := source.utilisation() - dest.utilisation()
+		difference := source.utilisation() - dest.utilisation()
 		empty := dest.work == 0
-		if !empty && (source.utilisation() < mean*p.policy.Imbalance || gain < p.policy.MinDifference) {
+		if !empty && (source.utilisation() < mean*p.policy.Imbalance || difference < p.policy.MinDifference) {
 			return Move{}, false
 		}
 		if cut, ok := p.bestCut(source, dest); ok {
@@ -241,7 +244,7 @@
 		p.considerPrefixes(r, wanted, consider)
 		p.considerSuffixes(r, wanted, consider)
 	}
-	// Keys with less than this share of the wanted work are not worth stopping.
+	// Keys with less than this share of the wanted work are not worth a move.
 	const minShare = 0.25
 	return best, bestDiff <= wanted*(1-minShare)
 }
@@ -292,7 +295,9 @@
 	source.ranges = rest
 }
 
-// Utilisation returns the load of each target divided by its capacity, by target ID.
+// Utilisation returns the load of each target divided by its capacity, by target ID. Moving ranges
+// count for their next owner. A load of baselineWork, spread over all keys, is added to the
+// measured one, and the work of a single key counts up to the capacity of its owner.
 func Utilisation(m *Map, load *Load, targets []Capacity) map[string]float64 {
 	p := newPlanner(m, load, targets, Policy{})
 	out := make(map[string]float64, len(targets))
--- a/coordination/keyrange/reassign.go
+++ b/coordination/keyrange/reassign.go
@@ -5,15 +5,14 @@
 	"slices"
 )
 
-// minSplitShare is the least work of a range, as a share of the destination's capacity, for which
-// the range is split when it is reassigned. Each range is stored and renewed by itself: if every
-// range of a leaving target were split, the map would be too large for its row at the end of a
-// rolling replacement.
+// A range is split when it is reassigned only if its work is more than minSplitShare of the
+// destination's capacity. Each range is stored and renewed by itself: if every range of a leaving
+// target were split, the map would be too large for its row at the end of a rolling replacement.
 const minSplitShare = 0.4
 
-// Reassign returns moves that give ranges whose owners have ended or leave to other targets: the
-// range with the most work first, each to the least utilised target. A range is split only if it is
-// too much for one target.
+// Reassign returns moves that give ranges whose owners have exited or are leaving to other targets:
+// the range with the most work first, each to the least utilised target. A range is split only if
+// its work is too much for one target.
 func Reassign(m *Map, load *Load, ranges []Range, targets []Capacity) []Move {
 	if len(targets) == 0 {
 		return nil
@@ -40,7 +39,7 @@
 		dest := p.leastUtilised()
 		minWork := minSplitShare * dest.AverageSlots
 		if r.Owner == "" {
-			// The load of keys without a former owner is not known yet.
+			// The load of keys that have had no owner is not known yet.
 			minWork = 0
 		}
 		to := r.To
@@ -58,7 +57,7 @@
 	}
 }
 
-// overfillFactor is the ratio of a range's work to the room of its destination from which on the
+// overfillFactor is the ratio of a range's work to the room left at its destination above which the
 // range is split.
 const overfillFactor = 1.25
 
