--- a/coordination/assign/assign_test.go
+++ b/coordination/assign/assign_test.go
@@ -21,12 +21,12 @@
 
 var config = Config{Service: "s", HoldMax: 10 * time.Second, HeldUntil: clock.Never, Policy: keyrange.Policy{Imbalance: 1.2, MinDifference: 0.1}}
 
-// target returns a target with six slots.
+// target returns a target with the given ID and six slots.
 func target(id string) view.Target {
 	return view.Target{ID: id, Service: "s", Address: "address-" + id, Slots: 6}
 }
 
-// draining returns the target as draining.
+// draining returns the target as one that is leaving.
 func draining(t view.Target) view.Target {
 	t.Draining = true
 	return t
@@ -64,7 +64,7 @@
 	return keys
 }
 
-// nextProposal runs a manager until its next proposal; no order gets an answer. It returns nil if
+// nextProposal runs a manager until its next proposal; no order gets a response. It returns nil if
 // there is no proposal within 25 s.
 func nextProposal(m *Manager, now clock.Instant) (*keyrange.Map, clock.Instant) {
 	for range 1000 {
@@ -103,8 +103,8 @@
 		Expect(owners(m.Map())).NotTo(HaveKey("a"))
 	})
 
-	// Guards against two targets that hold the same keys for four seconds. A range was moving to a
-	// target that began to drain, so another target was to get it. Before that change was stored,
+	// Guards against two targets that own the same keys for four seconds. A range was moving to a
+	// target that began to leave, so another target was to get it. Before that change was stored,
 	// the manager still acted on the old map and sent the grant to the first target.
 	ginkgo.It("grants nothing under a fence that is about to be replaced", func() {
 		m := NewManager(config, nil, start)
@@ -129,14 +129,14 @@
 		}
 	})
 
-	// Guards against two targets that hold the same keys: a target stops answering, and its keys
-	// are granted to others before its last hold has run out by its slow clock.
-	ginkgo.It("waits until the hold of a target that does not answer has run out", func() {
+	// Guards against two targets that own the same keys: a target stops answering, and its keys are
+	// granted to others before its last grant has expired by its slow clock.
+	ginkgo.It("waits until the last grant of a target that does not answer has expired", func() {
 		m := NewManager(config, nil, start)
 		targets := []view.Target{target("a"), target("b")}
 		now := settle(m, start, targets)
-		for now.Sub(start) < holdExpiry(config.HoldMax) {
-			// Until then, grants of a former leader may be in force.
+		for now.Sub(start) < timeToExpiry(config.HoldMax) {
+			// Until then, grants of a former leader may be valid.
 			now = settle(m, now, targets)
 		}
 		failedAt := now
@@ -179,10 +179,11 @@
 		Expect(owners(m.Map())).To(HaveKey("a2"))
 	})
 
-	// Guards against two targets that hold the same keys. A target crashed and was restarted at its
+	// Guards against two targets that own the same keys. A target exited and was restarted at its
 	// address while its former entry had not lapsed yet, so that two targets were listed there. The
-	// new process was taken for the ended one, and its new keys were reassigned without a release.
-	ginkgo.It("does not take a listed target for ended because another has its address", func() {
+	// new process was taken for the one that had exited, and its new keys were reassigned without a
+	// release.
+	ginkgo.It("does not assume that a listed target has exited because another has its address", func() {
 		former, restarted := target("b"), target("a")
 		restarted.Address = former.Address
 		m := NewManager(config, nil, start)
@@ -203,22 +204,22 @@
 				m.RecordStored(p)
 			}
 		}
-		Expect(m.holder(restarted.ID).ended).To(BeFalse())
-		Expect(m.holder(former.ID).ended).To(BeTrue())
+		Expect(m.stateOf(restarted.ID).exited).To(BeFalse())
+		Expect(m.stateOf(former.ID).exited).To(BeTrue())
 		Expect(owners(m.Map())).To(HaveKey(restarted.ID))
 	})
 
-	// Guards against two targets that hold the same keys. A target crashed and was restarted, and
+	// Guards against two targets that own the same keys. A target exited and was restarted, and
 	// both processes were listed. The new one was cut off from the registry and its entry lapsed
-	// first. The entry of the former process was taken as proof that the new one had ended.
-	ginkgo.It("does not take a target for ended because its former process is still listed", func() {
+	// first. The entry of the former process was taken as proof that the new one had exited.
+	ginkgo.It("does not assume that a target has exited because its former process is still listed", func() {
 		former, restarted := target("a"), target("b")
 		restarted.Address = former.Address
 		m := NewManager(config, nil, start)
 		now := settle(m, start, []view.Target{former, target("c")})
 		m.SetTargets(now, []view.Target{former, restarted, target("c")})
 		m.SetTargets(now.Add(time.Second), []view.Target{former, target("c")})
-		Expect(m.holder(restarted.ID).ended).To(BeFalse())
+		Expect(m.stateOf(restarted.ID).exited).To(BeFalse())
 	})
 
 	// Guards against reassigning keys of a target whose grants the former leader has just renewed:
--- a/coordination/assign/cold_test.go
+++ b/coordination/assign/cold_test.go
@@ -10,7 +10,8 @@
 	"lycheehall.example/lycheehall/coordination/view"
 )
 
-// evenLoad returns a load with the same work for each key; total is the work of all keys, in slots.
+// evenLoad returns a load with the same work for each key; total is the work of all keys, in slots
+// of an average target.
 func evenLoad(total float32) *keyrange.Load {
 	load := &keyrange.Load{}
 	for key := range load {
@@ -20,7 +21,7 @@
 }
 
 var _ = ginkgo.Describe("keys", func() {
-	ginkgo.It("move to a cold target only as far as its cold rate allows, and further when it is warm (guards against a data centre that breaks down when its evacuation ends)", func() {
+	ginkgo.It("move to a cold target only as far as its cold rate allows, and further when it is warm (guards against a data centre whose targets fail when its evacuation ends)", func() {
 		m := NewManager(config, nil, start)
 		m.SetColdRateAndWork(2, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
@@ -36,7 +37,7 @@
 		Expect(share).To(BeNumerically("~", 0.5, 0.1))
 	})
 
-	ginkgo.It("move away from a target that names a limit, except for what it takes, and back when it names none", func() {
+	ginkgo.It("move away from a target that reports a limit, except for what it accepts, and back when it reports none", func() {
 		m := NewManager(config, nil, start)
 		m.SetColdRateAndWork(0, 500*time.Millisecond)
 		m.SetLoad(evenLoad(6), nil)
--- a/coordination/assign/lost_test.go
+++ b/coordination/assign/lost_test.go
@@ -20,7 +20,7 @@
 		return keys
 	}
 
-	ginkgo.It("are marked as lost until its hold has run out (guards against callers that wait for them)", func() {
+	ginkgo.It("are marked as lost until its last grant has expired (guards against callers that wait for them)", func() {
 		m := NewManager(config, nil, start)
 		m.SetLoad(evenLoad(6), nil)
 		a, b := target("a"), target("b")
@@ -43,7 +43,7 @@
 				}
 			}
 		}
-		runWithoutA(lostAfter + retryAfter + time.Second)
+		runWithoutA(unresponsiveAfter + retryAfter + time.Second)
 		Expect(lost(m.Map())).To(Equal(had))
 		runWithoutA(config.HoldMax)
 		Expect(lost(m.Map())).To(BeZero())
--- a/coordination/assign/manager.go
+++ b/coordination/assign/manager.go
@@ -13,22 +13,23 @@
 // Manager keeps the keys of one service assigned to targets. It is not safe for concurrent use.
 type Manager struct {
 	config Config
-	// current is the stored map.
+	// current is the stored map, as far as the manager knows.
 	current *keyrange.Map
 	// proposed is the map that is being stored, or nil.
 	proposed *keyrange.Map
 
-	// holders are the known targets by ID.
-	holders  map[string]*holder
+	// states are the states of the targets that are listed or in the map, by ID.
+	states   map[string]*targetState
 	renewals map[rangeKey]*renewal
 	moves    map[rangeKey]*move
 
 	// longestHoldSent is the longest hold of any grant sent.
 	longestHoldSent time.Duration
 	load            *keyrange.Load
-	// coldRate is how many requests a second a cold target takes; 0 if no limit is known.
+	// coldRate is how many requests a second a cold target accepts; 0 means no limit.
 	coldRate float64
-	// requestWork is the mean work of a request, in seconds of a slot of an average target.
+	// requestWork is the mean work of a request: for how many seconds it occupies a slot of an
+	// average target.
 	requestWork float64
 	// startedAt is when the leader took over and created the manager.
 	startedAt clock.Instant
@@ -43,7 +44,7 @@
 func NewManager(config Config, stored *keyrange.Map, now clock.Instant) *Manager {
 	m := &Manager{
 		config:        config,
-		holders:       map[string]*holder{},
+		states:        map[string]*targetState{},
 		renewals:      map[rangeKey]*renewal{},
 		moves:         map[rangeKey]*move{},
 		load:          &keyrange.Load{},
@@ -67,27 +68,28 @@
 // Map returns the stored map.
 func (m *Manager) Map() *keyrange.Map { return m.current }
 
-// holder returns the state of a target. A new target may hold grants of former leaders.
-func (m *Manager) holder(id string) *holder {
-	h := m.holders[id]
-	if h == nil {
-		h = &holder{failingSince: clock.Never, firstListedAt: clock.Never, regrantedAt: clock.Never, speed: 1, heldUntil: m.formerGrantsEnd()}
-		m.holders[id] = h
+// stateOf returns the state of a target. A new target may hold grants of former leaders.
+func (m *Manager) stateOf(id string) *targetState {
+	st := m.states[id]
+	if st == nil {
+		st = &targetState{failingSince: clock.Never, firstListedAt: clock.Never, regrantedAt: clock.Never, speed: 1, heldUntil: m.formerGrantsExpiry()}
+		m.states[id] = st
 	}
-	return h
+	return st
 }
 
-// adopt replaces the stored map and deletes the state of ranges that no longer exist.
+// adopt replaces the stored map, and deletes the state of ranges that no longer exist and of
+// targets that are neither listed nor in the map.
 func (m *Manager) adopt(stored *keyrange.Map) {
 	m.current = stored
 	live := map[rangeKey]bool{}
 	for _, r := range stored.Ranges {
 		if r.Owner != "" {
-			m.holder(r.Owner)
+			m.stateOf(r.Owner)
 			live[rangeKey{r.From, r.To, r.Fence}] = true
 		}
 		if r.Moving() {
-			m.holder(r.Next)
+			m.stateOf(r.Next)
 			live[rangeKey{r.From, r.To, r.NextFence}] = true
 		}
 	}
@@ -102,9 +104,9 @@
 			delete(m.moves, key)
 		}
 	}
-	for id, h := range m.holders {
-		if !h.listed && !m.inMap(id) {
-			delete(m.holders, id)
+	for id, st := range m.states {
+		if !st.listed && !m.inMap(id) {
+			delete(m.states, id)
 		}
 	}
 }
@@ -114,14 +116,16 @@
 	return slices.ContainsFunc(m.current.Ranges, func(r keyrange.Range) bool { return r.Owner == id || r.Next == id })
 }
 
-// RecordStored records that the proposed map has been stored, or that another map was found in the store.
+// RecordStored records that the proposed map has been stored, or that another map was read from the
+// store.
 func (m *Manager) RecordStored(stored *keyrange.Map) {
 	m.proposed = nil
 	m.adopt(stored)
 }
 
-// RecordNotStored records that the proposed map was not stored. The state of moves that begin with it is
-// deleted: the next proposal has the same version, and may begin other moves under it.
+// RecordNotStored records that the proposed map was not stored. The state of the moves that it
+// would have begun is deleted: the next proposal has the same version, and may begin other moves
+// under it.
 func (m *Manager) RecordNotStored() {
 	m.proposed = nil
 	for key := range m.moves {
@@ -131,92 +135,96 @@
 	}
 }
 
-// SetTargets sets the list of the service's targets.
+// SetTargets sets the list of the service's targets, as of now. It finds out which unlisted targets
+// have exited or were restarted.
 func (m *Manager) SetTargets(now clock.Instant, list []view.Target) {
 	newest := map[string]clock.Instant{}
 	byName := map[string]view.Target{}
-	for _, h := range m.holders {
-		h.listed = false
+	for _, st := range m.states {
+		st.listed = false
 	}
 	for _, t := range list {
-		h := m.holder(t.ID)
-		h.target = t
-		h.listed = true
-		if h.firstListedAt == clock.Never {
-			h.firstListedAt = now
+		st := m.stateOf(t.ID)
+		st.target = t
+		st.listed = true
+		if st.firstListedAt == clock.Never {
+			st.firstListedAt = now
 		}
-		newest[t.Address] = h.firstListedAt.Later(newest[t.Address])
+		newest[t.Address] = st.firstListedAt.Later(newest[t.Address])
 		byName[view.TargetName(t.ID)] = t
 	}
 	if len(list) > 0 && m.firstTargetAt == clock.Never {
 		m.firstTargetAt = now
 	}
-	for id, h := range m.holders {
-		if next, ok := byName[view.TargetName(id)]; ok && !h.listed {
-			h.replacedBy(id, next)
+	for id, st := range m.states {
+		if next, ok := byName[view.TargetName(id)]; ok && !st.listed {
+			st.recordSuccessor(id, next)
 			continue
 		}
-		if h.failing() && now.Sub(h.lastFailedAt) >= failureExpiry && !m.inMap(id) {
-			h.failingSince = clock.Never
+		if st.failing() && now.Sub(st.lastFailedAt) >= failureExpiry && !m.inMap(id) {
+			st.failingSince = clock.Never
 		}
-		// An unlisted target has ended if a target that was first listed later has its address. One
-		// that was listed earlier proves nothing: the registry keeps the entry of a crashed process
-		// for a while beside that of its successor, and the missing entry may be the successor's.
-		// If the order is not known, the outcomes of orders will show it.
-		if since, taken := newest[h.target.Address]; taken && !h.listed && h.firstListedAt != clock.Never && since > h.firstListedAt {
-			h.ended = true
+		// An unlisted target has exited if a target that was first listed later has its address.
+		// One that was listed earlier proves nothing: the registry keeps the entry of a process
+		// that has exited for a while beside that of its successor, and the missing entry may be
+		// the successor's. If the order is not known, the outcomes of orders will show which
+		// process has exited.
+		if since, taken := newest[st.target.Address]; taken && !st.listed && st.firstListedAt != clock.Never && since > st.firstListedAt {
+			st.exited = true
 		}
 	}
 }
 
-// replacedBy records that another process, next, was started under the target's name. If it has the
-// same address, it may have received a grant meant for the former process, and the keys must be
-// released there. If it has another address, the former process has ended: nothing of that name
-// answers at the old one.
-func (h *holder) replacedBy(id string, next view.Target) {
-	if h.target.Address != "" && h.target.Address != next.Address {
-		h.ended = true
+// recordSuccessor records that another process, next, was started under the target's name. If it
+// has the same address, it may have received a grant meant for the former process, and the keys
+// must be released there. If it has another address, the former process has exited: nothing of that
+// name answers at the old one.
+func (st *targetState) recordSuccessor(id string, next view.Target) {
+	if st.target.Address != "" && st.target.Address != next.Address {
+		st.exited = true
 		return
 	}
-	h.restarted = true
-	h.target = next
-	h.target.ID = id
+	st.restarted = true
+	st.target = next
+	st.target.ID = id
 }
 
-// SetLoad sets the load by key, and the speeds of targets relative to the average, by target ID.
+// SetLoad sets the load by key, and the speeds of targets by target ID. A speed is 1/slowness,
+// where the slowness is how many times as long as at an average target work takes.
 func (m *Manager) SetLoad(load *keyrange.Load, speeds map[string]float64) {
 	m.load = load
 	for id, speed := range speeds {
-		if h := m.holders[id]; h != nil {
-			h.speed = speed
+		if st := m.states[id]; st != nil {
+			st.speed = speed
 		}
 	}
 }
 
-// SetColdRateAndWork sets how many requests a second a cold target takes (0 if no limit is known), and the
-// mean time that a request takes at a target of average speed.
+// SetColdRateAndWork sets how many requests a second a cold target accepts (0 means no limit), and
+// the mean work of a request: the time that an average target takes for it. The work converts
+// limits of requests a second, also those of SetLimits, to slots.
 func (m *Manager) SetColdRateAndWork(rate float64, work time.Duration) {
 	m.coldRate = rate
 	m.requestWork = work.Seconds()
 }
 
-// SetLimits sets how many requests a second targets take from all instances together, by target ID.
-// Targets that name no limit are not in the map.
+// SetLimits sets how many requests a second targets accept from all instances together, by target
+// ID. Targets that report no limit are not in the map.
 func (m *Manager) SetLimits(limits map[string]float64) {
-	for id, h := range m.holders {
-		h.limit = limits[id]
+	for id, st := range m.states {
+		st.limit = limits[id]
 	}
 }
 
-// RecordOutcome records the outcome of an order. The handover is what the target answered to a
-// release.
+// RecordOutcome records the outcome of an order. The handover is the reference in the target's
+// response to a release, see Order.Handover.
 func (m *Manager) RecordOutcome(now clock.Instant, o Order, outcome Outcome, handover string) {
-	h := m.holder(o.Target)
-	m.recordHold(now, h, o, outcome)
-	m.recordHealth(now, h, outcome)
+	st := m.stateOf(o.Target)
+	m.recordHold(now, st, o, outcome)
+	m.recordHealth(now, st, outcome)
 	switch o.Kind {
 	case Renew:
-		m.recordRenewal(o, h, outcome)
+		m.recordRenewal(o, st, outcome)
 	case Grant:
 		if mv := m.moves[rangeKey{o.From, o.To, o.Fence}]; mv != nil {
 			mv.recordOutcome(now, o.Kind, outcome, handover)
@@ -239,17 +247,17 @@
 }
 
 // recordHealth records whether a target answers orders.
-func (m *Manager) recordHealth(now clock.Instant, h *holder, outcome Outcome) {
+func (m *Manager) recordHealth(now clock.Instant, st *targetState, outcome Outcome) {
 	switch outcome {
 	case OutcomeDone, OutcomeHigherFence:
-		h.failingSince = clock.Never
+		st.failingSince = clock.Never
 	case OutcomeOtherTarget:
-		h.ended = true
+		st.exited = true
 	case OutcomeUnverified:
 	case OutcomeNotSent, OutcomeUnknown:
-		h.lastFailedAt = now
-		if !h.failing() {
-			h.failingSince = now
+		st.lastFailedAt = now
+		if !st.failing() {
+			st.failingSince = now
 		}
 	}
 }
@@ -279,8 +287,8 @@
 	}
 }
 
-// DueOrders returns the orders that are due. While the store is unavailable, grants get the longest
-// hold.
+// DueOrders returns the orders that are due. The outcome of each must be passed to RecordOutcome.
+// While the store is unavailable, grants get the longest hold.
 func (m *Manager) DueOrders(now clock.Instant, storeUnavailable bool) []Order {
 	hold := m.hold()
 	if storeUnavailable {
@@ -299,7 +307,7 @@
 }
 
 // joinReleases joins releases of the same owner under the same fence into one, unless the owner
-// keeps keys between them. So a leaving target gets a single release: each release waits for
+// keeps keys between them. Thus a leaving target gets a single release. Each release waits for
 // running work and occupies one of the few connections that a target accepts.
 func (m *Manager) joinReleases(orders []Order) []Order {
 	var out []Order
@@ -317,8 +325,8 @@
 	return out
 }
 
-// keepsRangesWithin reports whether a target owns or gets any of the keys from..to other than those
-// that it gives up under the fence.
+// keepsRangesWithin reports whether a target owns or gets any of the keys from..to, apart from
+// those that it releases under the fence.
 func (m *Manager) keepsRangesWithin(target string, fence uint64, from, to uint16) bool {
 	return slices.ContainsFunc(m.current.Ranges, func(r keyrange.Range) bool {
 		if r.To < from || r.From > to || r.Owner != target && r.Next != target {
@@ -328,10 +336,11 @@
 	})
 }
 
-// newOrder returns an order to the target h for the keys of a range. Any connection is allowed.
-func (m *Manager) newOrder(now clock.Instant, kind Kind, r keyrange.Range, h *holder, fence uint64, hold time.Duration, handover string) Order {
+// newOrder returns an order to the target with the state st for the keys of a range. It may be sent
+// over any connection.
+func (m *Manager) newOrder(now clock.Instant, kind Kind, r keyrange.Range, st *targetState, fence uint64, hold time.Duration, handover string) Order {
 	return Order{
-		Kind: kind, Service: m.config.Service, Target: cmp.Or(h.target.ID, r.Owner), Address: h.target.Address,
+		Kind: kind, Service: m.config.Service, Target: cmp.Or(st.target.ID, r.Owner), Address: st.target.Address,
 		From: r.From, To: r.To, Fence: fence, Hold: hold, Handover: handover, SentAt: now, ConnectionOpenSince: clock.Never,
 	}
 }
@@ -343,15 +352,15 @@
 		m.checkReleased(now, r, mv)
 	}
 	if !mv.released {
-		owner := m.holder(r.Owner)
+		owner := m.stateOf(r.Owner)
 		if mv.releasing || now < mv.retryAt || owner.target.Address == "" {
 			return orders
 		}
 		mv.releasing = true
 		return append(orders, m.newOrder(now, Release, r, owner, r.NextFence, 0, ""))
 	}
-	next := m.holder(r.Next)
-	if mv.granted || mv.granting || mv.unanswered || mv.refused || now < mv.retryAt || next.ended || next.target.Address == "" {
+	next := m.stateOf(r.Next)
+	if mv.granted || mv.granting || mv.unanswered || mv.refused || now < mv.retryAt || next.exited || next.target.Address == "" {
 		return orders
 	}
 	mv.granting = true
@@ -370,15 +379,15 @@
 	return mv
 }
 
-// checkReleased marks a move as released if there is no former owner, or if it has ended or its
-// hold is certain to have run out.
+// checkReleased marks a move as released if there is no former owner, or if it has exited or all
+// its grants have certainly expired.
 func (m *Manager) checkReleased(now clock.Instant, r keyrange.Range, mv *move) {
 	if r.Owner == "" {
 		mv.released = true
 		return
 	}
-	owner := m.holder(r.Owner)
-	if owner.ended || owner.grantsInFlight == 0 && now >= owner.heldUntil {
+	owner := m.stateOf(r.Owner)
+	if owner.exited || owner.grantsInFlight == 0 && now >= owner.heldUntil {
 		mv.released = true
 		mv.retryAt = clock.Never
 	}
--- a/coordination/assign/propose.go
+++ b/coordination/assign/propose.go
@@ -10,7 +10,7 @@
 )
 
 // Propose returns a changed map to be stored, or nil if there is nothing to change. It returns no
-// other map until Stored or NotStored is called.
+// other map until RecordStored or RecordNotStored is called.
 func (m *Manager) Propose(now clock.Instant) *keyrange.Map {
 	if m.proposed != nil {
 		return nil
@@ -26,7 +26,7 @@
 			m.markLost(e, now, r)
 		case m.takeRefusedRenewal(r):
 			e.Move(r.From, r.To, r.Owner, false)
-		case m.holder(r.Owner).canRelease():
+		case m.stateOf(r.Owner).canRelease():
 			toReassign = append(toReassign, r)
 		case m.ownerLost(now, r):
 			lost = append(lost, r)
@@ -38,8 +38,8 @@
 	m.reassign(e, now, toReassign, false)
 	m.reassign(e, now, lost, true)
 	m.balance(e, now, moving)
-	if e.Changed() || len(m.current.Ranges) > mergeAbove*len(m.holders) {
-		e.MergeAdjoining(func(owner string) bool { return m.holder(owner).eligible() })
+	if e.Changed() || len(m.current.Ranges) > mergeAbove*len(m.states) {
+		e.MergeAdjoining(func(owner string) bool { return m.stateOf(owner).eligible() })
 	}
 	if !e.Changed() {
 		return nil
@@ -50,16 +50,15 @@
 
 // regrantUnverified raises the fences of targets that may have been restarted: the process that
 // answers at the address gets the keys under a fence that no former process has had. A target that
-// was not restarted accepts the new grant in place of the former one, and its running work
-// continues.
+// was not restarted replaces the former grant by the new one, and its running work continues.
 func (m *Manager) regrantUnverified(e *keyrange.Editor, now clock.Instant) {
-	for id, h := range m.holders {
-		if !h.unverified || h.regrantedAt != clock.Never && now.Sub(h.regrantedAt) < regrantInterval {
+	for id, st := range m.states {
+		if !st.unverified || st.regrantedAt != clock.Never && now.Sub(st.regrantedAt) < regrantInterval {
 			continue
 		}
-		h.unverified = false
-		h.regrantedAt = now
-		if h.eligible() || h.listed && !h.ended {
+		st.unverified = false
+		st.regrantedAt = now
+		if st.eligible() || st.listed && !st.exited {
 			e.RaiseFences(id)
 		}
 	}
@@ -67,25 +66,25 @@
 
 // canRelease reports whether a target that is no longer listed can be asked to give its keys up: it
 // was restarted, or it is only cut off from the registry. Its keys move within the time that
-// running work takes, and requests for them wait. Requests for the keys of a lost target are
-// refused at once.
-func (h *holder) canRelease() bool {
-	if h.listed || h.ended || h.target.Address == "" {
+// running work takes, and requests for them wait. Requests for the keys of a target that cannot be
+// asked are refused at once.
+func (st *targetState) canRelease() bool {
+	if st.listed || st.exited || st.target.Address == "" {
 		return false
 	}
-	return h.restarted || !h.failing()
+	return st.restarted || !st.failing()
 }
 
-// concludeMove ends a move whose next owner has the keys. If the next owner cannot take them, it
-// begins the move to another owner, or to the same owner under a higher fence.
+// concludeMove ends a move whose next owner has confirmed the grant. If the next owner cannot get
+// the keys, it begins the move to another owner, or to the same owner under a higher fence.
 func (m *Manager) concludeMove(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
 	mv := m.move(now, r)
-	next := m.holder(r.Next)
+	next := m.stateOf(r.Next)
 	if mv.granted {
 		e.FinishMove(r.From, r.To)
 		return
 	}
-	gone := next.ended || next.lost(now) || !next.listed || next.target.Draining
+	gone := next.exited || next.unresponsive(now) || !next.listed || next.target.Draining
 	if !mv.released || mv.granting || !gone && !mv.refused && !mv.unanswered {
 		return
 	}
@@ -104,12 +103,12 @@
 		target = list[0].Target
 	}
 	// No grant may be sent under this fence any more, even if the change is not stored at first:
-	// once it is stored, the keys go to another target, and two targets would hold them.
+	// once it is stored, the keys go to another target, and two targets would own them.
 	mv.refused = true
 	if mv.offered {
-		// The former next owner may hold the keys, so it must release them like any owner.
+		// The former next owner may have got the keys, so it must release them like any owner.
 		e.FinishMove(r.From, r.To)
-		e.Move(r.From, r.To, target, next.lost(now))
+		e.Move(r.From, r.To, target, next.unresponsive(now))
 		return
 	}
 	e.Move(r.From, r.To, target, r.Lost)
@@ -117,10 +116,10 @@
 }
 
 // markLost marks a moving range as lost if its owner does not answer the release, so that requests
-// for it are refused instead of waiting: its keys are served again only when the hold is certain to
-// have run out.
+// for it are refused instead of waiting: its keys are served again only when the owner's last grant
+// has certainly expired.
 func (m *Manager) markLost(e *keyrange.Editor, now clock.Instant, r keyrange.Range) {
-	if r.Lost || r.Owner == "" || m.move(now, r).released || !m.holder(r.Owner).lost(now) {
+	if r.Lost || r.Owner == "" || m.move(now, r).released || !m.stateOf(r.Owner).unresponsive(now) {
 		return
 	}
 	e.MarkLost(r.From, r.To)
@@ -136,7 +135,7 @@
 }
 
 // takeRefusedRenewal reports whether the owner of a range refused a renewal because it has seen a
-// higher fence, and deletes that record. The owner gets the keys again under a higher fence.
+// higher fence, and deletes the record of that. The owner gets the keys again under a higher fence.
 func (m *Manager) takeRefusedRenewal(r keyrange.Range) bool {
 	key := rangeKey{r.From, r.To, r.Fence}
 	mv := m.moves[key]
@@ -147,27 +146,28 @@
 	return true
 }
 
-// ownerLost reports whether the owner of a range cannot be asked to give it up.
+// ownerLost reports whether the owner of a range cannot be asked to give it up: it has exited, does
+// not answer, or is not listed. For unlisted owners that can be asked, see canRelease.
 func (m *Manager) ownerLost(now clock.Instant, r keyrange.Range) bool {
 	if r.Owner == "" {
 		return false
 	}
-	h := m.holder(r.Owner)
-	if !h.listed && h.target.Address == "" && now.Sub(m.startedAt) < startupWait {
+	st := m.stateOf(r.Owner)
+	if !st.listed && st.target.Address == "" && now.Sub(m.startedAt) < startupWait {
 		// The registry may not have been read yet.
 		return false
 	}
-	return h.ended || h.lost(now) || !h.listed
+	return st.exited || st.unresponsive(now) || !st.listed
 }
 
-// needsOwner reports whether a range needs another owner: its owner is draining, or it has none.
-// Keys without an owner are given out startupWait after the first target was listed.
+// needsOwner reports whether a range needs another owner: its owner is leaving, or it has none.
+// Keys without an owner are assigned startupWait after the first target was listed.
 func (m *Manager) needsOwner(now clock.Instant, r keyrange.Range) bool {
 	if r.Owner == "" {
 		return m.firstTargetAt != clock.Never && now.Sub(m.firstTargetAt) >= startupWait
 	}
-	h := m.holder(r.Owner)
-	return h.listed && h.target.Draining
+	st := m.stateOf(r.Owner)
+	return st.listed && st.target.Draining
 }
 
 // reassign begins to move ranges to the targets that can get keys.
@@ -192,13 +192,14 @@
 
 const (
 	// minConcurrentMoves is the number of ranges that may move at a time to balance the load,
-	// however few targets there are. Requests for them wait until the running ones have ended.
+	// however few targets there are. Requests for moving ranges wait until the running ones have
+	// ended.
 	minConcurrentMoves = 8
 	// targetsPerMove is the number of targets for each range that may move at a time. With moves in
 	// proportion to the targets, load is balanced in a few steps for any number of targets.
 	targetsPerMove = 4
 	// maxRanges is the number of ranges above which no moves to balance the load begin. A map is
-	// stored in one row of at most 64 KiB; a range takes about 10 bytes, and an owner's name 15.
+	// stored in one row of at most 64 KiB; a range takes about 10 bytes, and the ID of an owner 15.
 	maxRanges = 4000
 	// mergeAbove is the number of ranges for each target above which adjoining ranges of the same
 	// owner are merged even if there is nothing else to store.
--- a/coordination/assign/renew.go
+++ b/coordination/assign/renew.go
@@ -7,56 +7,56 @@
 	"lycheehall.example/lycheehall/coordination/keyrange"
 )
 
-// holdExpiry returns how long after it was sent a grant with the given hold is certain to have run
-// out.
-func holdExpiry(hold time.Duration) time.Duration {
+// timeToExpiry returns the time from sending a grant with the given hold until it has certainly
+// expired at the target.
+func timeToExpiry(hold time.Duration) time.Duration {
 	return hold + time.Duration(float64(hold)*clockTolerance) + holdSlack
 }
 
-// GrantLifetime returns how long after it was sent a grant with the longest hold is certain to have
-// run out.
-func GrantLifetime(holdMax time.Duration) time.Duration { return holdExpiry(holdMax) }
+// GrantLifetime returns the time from sending a grant with the longest hold until it has certainly
+// expired at the target.
+func GrantLifetime(holdMax time.Duration) time.Duration { return timeToExpiry(holdMax) }
 
-// formerGrantsEnd returns when all grants of former leaders are certain to have run out.
-func (m *Manager) formerGrantsEnd() clock.Instant {
-	longest := m.startedAt.Add(holdExpiry(m.config.HoldMax))
+// formerGrantsExpiry returns when all grants of former leaders have certainly expired.
+func (m *Manager) formerGrantsExpiry() clock.Instant {
+	longest := m.startedAt.Add(timeToExpiry(m.config.HoldMax))
 	if m.config.HeldUntil != clock.Never {
 		return min(longest, m.config.HeldUntil)
 	}
 	return longest
 }
 
-// HeldUntil returns when all grants of this manager and of former leaders will have run out if no
+// HeldUntil returns when all grants of this manager and of former leaders will have expired if no
 // more orders are sent.
 func (m *Manager) HeldUntil(now clock.Instant) clock.Instant {
-	held := m.formerGrantsEnd()
+	held := m.formerGrantsExpiry()
 	if held < now {
 		held = now
 	}
-	for _, h := range m.holders {
-		held = held.Later(h.heldUntil)
-		if h.grantsInFlight > 0 {
-			held = held.Later(now.Add(maxOrderTime + holdExpiry(m.longestHoldSent)))
+	for _, st := range m.states {
+		held = held.Later(st.heldUntil)
+		if st.grantsInFlight > 0 {
+			held = held.Later(now.Add(maxOrderTime + timeToExpiry(m.longestHoldSent)))
 		}
 	}
 	return held
 }
 
-// holdWithin returns the longest hold of an order sent now that is certain to end by heldUntil,
-// even if the order takes maxOrderTime.
-func (h *holder) holdWithin(now clock.Instant) time.Duration {
-	left := h.heldUntil.Sub(now) - holdSlack - maxOrderTime
+// holdWithin returns the longest hold with which a grant sent now has certainly expired by
+// heldUntil, even if the order takes maxOrderTime.
+func (st *targetState) holdWithin(now clock.Instant) time.Duration {
+	left := st.heldUntil.Sub(now) - holdSlack - maxOrderTime
 	return time.Duration(float64(left) / (1 + clockTolerance))
 }
 
 // recordHold extends heldUntil by the hold of an order that the target may have received.
-func (m *Manager) recordHold(now clock.Instant, h *holder, o Order, outcome Outcome) {
+func (m *Manager) recordHold(now clock.Instant, st *targetState, o Order, outcome Outcome) {
 	if o.Kind == Release {
 		return
 	}
-	h.grantsInFlight--
+	st.grantsInFlight--
 	if outcome == OutcomeDone || outcome == OutcomeUnknown {
-		h.heldUntil = h.heldUntil.Later(now.Add(holdExpiry(o.Hold)))
+		st.heldUntil = st.heldUntil.Later(now.Add(timeToExpiry(o.Hold)))
 	}
 }
 
@@ -71,36 +71,36 @@
 // appendRenewal appends a renewal of an owner's grant if one is due.
 func (m *Manager) appendRenewal(now clock.Instant, hold time.Duration, r keyrange.Range, orders []Order) []Order {
 	key := rangeKey{r.From, r.To, r.Fence}
-	h := m.holder(r.Owner)
+	st := m.stateOf(r.Owner)
 	state := m.renewals[key]
 	if state == nil {
 		state = &renewal{sentAt: clock.Never, confirmedAt: clock.Never}
 		m.renewals[key] = state
 	}
 	if state.closed {
-		h.unverified = true
+		st.unverified = true
 		return orders
 	}
-	if state.inFlight || h.ended || h.target.Address == "" || state.sentAt != clock.Never && now.Sub(state.sentAt) < m.renewInterval() {
+	if state.inFlight || st.exited || st.target.Address == "" || state.sentAt != clock.Never && now.Sub(state.sentAt) < m.renewInterval() {
 		return orders
 	}
-	if h.failing() {
-		hold = min(hold, h.holdWithin(now))
+	if st.failing() {
+		hold = min(hold, st.holdWithin(now))
 		if hold < minHold {
 			return orders
 		}
 	}
 	state.inFlight = true
 	state.sentAt = now
-	h.grantsInFlight++
-	o := m.newOrder(now, Renew, r, h, r.Fence, hold, "")
+	st.grantsInFlight++
+	o := m.newOrder(now, Renew, r, st, r.Fence, hold, "")
 	o.ConnectionOpenSince = state.confirmedAt
 	return append(orders, o)
 }
 
-// recordRenewal records the outcome of a renewal. If the target has seen a higher fence, the range
-// is moved to the same owner, which raises the fence.
-func (m *Manager) recordRenewal(o Order, h *holder, outcome Outcome) {
+// recordRenewal records the outcome of a renewal. If the target has seen a higher fence, the next
+// proposal moves the range to the same owner, which raises the fence.
+func (m *Manager) recordRenewal(o Order, st *targetState, outcome Outcome) {
 	key := rangeKey{o.From, o.To, o.Fence}
 	r := m.renewals[key]
 	if r == nil {
@@ -111,21 +111,23 @@
 	case OutcomeDone:
 		r.confirmedAt = o.SentAt
 		if o.Hold < failoverTime {
-			// The target answers again after short holds: it gets the usual hold at once.
+			// The target answers again after renewals with short holds: it gets one with the usual
+			// hold at once.
 			r.sentAt = clock.Never
 		}
 	case OutcomeHigherFence:
 		r.closed = true
 		m.moves[key] = &move{refused: true}
 	case OutcomeUnverified:
-		h.unverified = true
+		st.unverified = true
 	case OutcomeUnknown:
 		r.closed = o.ConnectionOpenSince == clock.Never
 	}
 }
 
 // inheritRenewals gives ranges that were split from others, or merged from them, under the same
-// fence, the state of their last renewal. The parameter live holds all ranges of the new map.
+// fence, the state of the last renewal of those others. The parameter live holds all ranges of the
+// new map.
 func (m *Manager) inheritRenewals(live map[rangeKey]bool) {
 	former := map[uint64][]rangeKey{}
 	for key := range m.renewals {
--- a/coordination/assign/schedules_test.go
+++ b/coordination/assign/schedules_test.go
@@ -21,22 +21,22 @@
 	id   string
 	up   bool
 	born clock.Instant
-	// rate is the factor by which holds last longer because of the slow clock.
-	rate float64
-	held map[uint16]hold
+	// holdFactor is the factor by which holds last longer because of the slow clock.
+	holdFactor float64
+	grants     map[uint16]keyGrant
 	// forgetsFences makes the target accept grants under a lower fence than it has seen: a fault
 	// that the simulation must detect.
 	forgetsFences bool
-	// stoppedUntil is when the stopped process continues; until then it reads nothing.
+	// stoppedUntil is when the stopped process continues; until then it reads no orders.
 	stoppedUntil clock.Instant
 	// countsFromRead makes the target count a hold from when it reads the grant instead of from the
 	// grant's arrival: a fault that the simulation must detect.
 	countsFromRead bool
 }
 
-// hold is what a fakeTarget knows about a key: the fence of its grant, the highest fence seen, and
-// when the grant runs out.
-type hold struct {
+// keyGrant is what a fakeTarget knows about a key: the fence of its grant, the highest fence seen,
+// and when the grant expires.
+type keyGrant struct {
 	fence, seen uint64
 	until       clock.Instant
 }
@@ -53,7 +53,7 @@
 // apply carries out an order and returns its outcome.
 func (f *fakeTarget) apply(now clock.Instant, o Order) Outcome {
 	for _, key := range sampledKeys {
-		if key >= o.From && key <= o.To && o.Kind != Release && f.held[key].seen > o.Fence && !f.forgetsFences {
+		if key >= o.From && key <= o.To && o.Kind != Release && f.grants[key].seen > o.Fence && !f.forgetsFences {
 			return OutcomeHigherFence
 		}
 	}
@@ -61,14 +61,14 @@
 		if key < o.From || key > o.To {
 			continue
 		}
-		h := f.held[key]
+		h := f.grants[key]
 		h.seen = max(h.seen, o.Fence)
 		h.until = now
 		if o.Kind != Release {
 			h.fence = o.Fence
-			h.until = now.Add(time.Duration(float64(o.Hold) * f.rate))
+			h.until = now.Add(time.Duration(float64(o.Hold) * f.holdFactor))
 		}
-		f.held[key] = h
+		f.grants[key] = h
 	}
 	return OutcomeDone
 }
@@ -135,7 +135,7 @@
 // startProcess starts a process under a name, which a former process may have had.
 func (s *simulation) startProcess(name, address string, forgetful bool) view.Target {
 	id := view.TargetID(name, int64(s.now))
-	s.targets[id] = &fakeTarget{id: id, up: true, born: s.now, rate: 1 + 0.02*s.random.Float64(), held: map[uint16]hold{}, forgetsFences: forgetful}
+	s.targets[id] = &fakeTarget{id: id, up: true, born: s.now, holdFactor: 1 + 0.02*s.random.Float64(), grants: map[uint16]keyGrant{}, forgetsFences: forgetful}
 	s.byName[name] = s.targets[id]
 	t := target(id)
 	t.Address = address
@@ -169,7 +169,7 @@
 	}
 	switch s.random.IntN(7) {
 	case 5, 6:
-		// A crash and a restart under the same name, which the registry shows later.
+		// The process exits and is restarted under its name, which the registry shows later.
 		s.targets[id].up = false
 		next := s.startProcess(view.TargetName(id), t.Address, s.targets[id].forgetsFences)
 		s.scheduleWithin(1200*time.Millisecond, func() {
@@ -179,7 +179,8 @@
 			}
 		})
 	case 0:
-		// A crash, and a new target at the same address. The entry of the crashed one lapses later.
+		// The process exits, and a new target starts at its address. The entry of the former one
+		// lapses later.
 		s.targets[id].up = false
 		s.scheduleWithin(3*time.Second, func() { delete(s.listed, id) })
 		s.addTarget(t.Address, s.targets[id].forgetsFences)
@@ -213,10 +214,10 @@
 	}
 }
 
-// maxStop is the longest time for which a target is stopped. It is longer than a hold.
+// maxStop is the longest time for which a target is stopped. It is longer than the usual hold.
 const maxStop = 8 * time.Second
 
-// deliverLate lets a stopped target read an order when it continues. The order gets no answer in
+// deliverLate lets a stopped target read an order when it continues. The order gets no response in
 // time.
 func (s *simulation) deliverLate(m *Manager, f *fakeTarget, o Order) {
 	arrivedAt := s.now
@@ -232,7 +233,8 @@
 	}})
 }
 
-// send delivers an order to its target, loses it, loses its answer, or delivers it late, at random.
+// send delivers an order to its target, loses it, loses the response, or delivers it late, at
+// random.
 func (s *simulation) send(m *Manager, o Order) {
 	f := s.byName[view.TargetName(o.Target)]
 	if f != nil && f.up && s.now < f.stoppedUntil {
@@ -307,8 +309,8 @@
 	}
 }
 
-// storeProposal stores a proposal of the leader. The answer may be lost, and the change may not
-// have been made.
+// storeProposal stores a proposal of the leader. The store's response may be lost, and the change
+// may not have been made.
 func (s *simulation) storeProposal() {
 	m := s.leader
 	p := m.Propose(s.now)
@@ -341,17 +343,17 @@
 	})
 }
 
-// checkExclusive checks that no two targets hold the same key at the same time.
+// checkExclusive checks that no two targets own the same key at the same time.
 func (s *simulation) checkExclusive() {
 	for _, key := range sampledKeys {
 		holder := ""
 		for _, f := range s.targets {
-			h := f.held[key]
+			h := f.grants[key]
 			if !f.up || h.until <= s.now {
 				continue
 			}
 			if holder != "" {
-				s.violation = fmt.Sprintf("%v: %s and %s hold key %d", s.now.Sub(start), holder, f.id, key)
+				s.violation = fmt.Sprintf("%v: %s and %s own key %d", s.now.Sub(start), holder, f.id, key)
 				return
 			}
 			holder = f.id
@@ -381,13 +383,13 @@
 	return s.violation
 }
 
-// unserved returns the number of sampled keys that no target holds.
+// unserved returns the number of sampled keys that no target owns.
 func (s *simulation) unserved() int {
 	count := 0
 	for _, key := range sampledKeys {
 		held := false
 		for _, f := range s.targets {
-			held = held || f.up && f.held[key].until > s.now
+			held = held || f.up && f.grants[key].until > s.now
 		}
 		if !held {
 			count++
@@ -401,8 +403,9 @@
 
 var _ = ginkgo.Describe("ownership under random faults", func() {
 	// Guards against two targets that run work for the same key. The schedules contain, in random
-	// order: crashes, restarts, targets cut off from the registry, draining, changes of the leader,
-	// orders that are lost, unanswered or late, and changes of the map with an unknown outcome.
+	// order: targets that exit, are restarted, are cut off from the registry or leave, changes of
+	// the leader, orders that are lost, unanswered or late, and changes of the map with an unknown
+	// outcome.
 	ginkgo.It("is exclusive, and every key is served again in the end", func() {
 		for seed := range uint64(scheduleCount) {
 			s := newSimulation(seed, false)
@@ -422,7 +425,7 @@
 
 	// Guards against a target that begins work under a fence after another target has begun work
 	// for the same key under a higher one. A target is stopped, a renewal reaches its machine, its
-	// hold runs out, its keys are moved to another target, and it continues and reads the renewal.
+	// grant expires, its keys are moved to another target, and it continues and reads the renewal.
 	// Exclusive ownership depends on counting the hold from the arrival, as the next spec shows.
 	ginkgo.It("is exclusive if targets are stopped and read orders when they continue", func() {
 		for seed := range uint64(scheduleCount) {
