--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -5,9 +5,9 @@
 // Times of different clocks are never compared. The holder counts its lease from before it sent the
 // write that renewed it. All others count from when they first saw the row's version, which is
 // after that write took effect. So an observer that has seen the same version for the duration of a
-// lease knows that the lease has run out by the holder's clock too, as long as the rates of the two
-// clocks differ by less than ClockTolerance. After the store was restored from a copy, the row has
-// a version of a new era, and the observer begins to count again.
+// lease, lengthened by ClockTolerance, knows that the lease has expired by the holder's clock too,
+// as long as the rates of the two clocks differ by less than that. After the store was restored
+// from a backup, the row has a version of a new era, and the observer begins to count again.
 package lease
 
 import (
@@ -20,30 +20,31 @@
 )
 
 const (
-	// Duration is the duration of a lease. A renewal through a slow store takes up to 0.6 s and
+	// Duration is the duration of a lease. A renewal takes up to 0.6 s if the store is slow, and
 	// begins RenewEvery after the previous one, so that two renewals fit into a lease.
 	Duration = 2 * time.Second
 	// RenewEvery is the time between renewals.
 	RenewEvery = 500 * time.Millisecond
 	// ClockTolerance is the fraction by which the rates of two clocks may differ. The clocks of
-	// targets may run 2 % slow; those of the instances' machines are assumed to be no worse.
+	// targets may run 2 % slow; those of the machines of the instances are assumed to be no worse.
 	ClockTolerance = 0.02
-	// SafetyMargin is how long before the end of its lease a holder stops acting. It covers the
-	// time between a check of the lease and the effect of the action that follows.
+	// SafetyMargin is how long before its lease expires a holder stops acting under it. It covers
+	// the time between a check of the lease and the effect of the action that follows.
 	SafetyMargin = 100 * time.Millisecond
 )
 
-// Row is the content of the lease's row.
+// Row is the content of the store's row that names the holder of the lease.
 type Row struct {
-	// Holder is the ID of the instance that holds the lease, Address where others reach it.
+	// Holder is the ID of the instance that holds the lease, and Address the host and port at which
+	// other instances connect to it.
 	Holder  string `json:"holder"`
 	Address string `json:"address"`
-	// Term grows with each change of the holder.
+	// Term grows each time that an instance takes the lease.
 	Term uint64 `json:"term"`
 	// Vacant is set when the holder has given the lease up and no longer acts under it.
 	Vacant bool `json:"vacant,omitempty"`
 	// Era is the era of the store in which the lease was taken. In a later era the row dates from
-	// before the store was restored from a copy: another instance may have taken the lease since
+	// before the store was restored from a backup: another instance may have taken the lease since
 	// then, and may still hold it.
 	Era uint64 `json:"era,omitempty"`
 }
@@ -57,7 +58,7 @@
 	return text, nil
 }
 
-// Decode reads the stored form of a row.
+// Decode decodes the stored form of a row.
 func Decode(text []byte) (Row, error) {
 	var r Row
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -66,7 +67,8 @@
 	return r, nil
 }
 
-// OwnLease tracks a lease that this instance may hold. The zero value holds no lease.
+// OwnLease tracks whether this instance holds the lease, and until when. The zero value means that
+// it does not.
 type OwnLease struct {
 	// renewedAt is when the last successful renewal was begun.
 	renewedAt clock.Instant
@@ -74,24 +76,25 @@
 }
 
 // Renewed records that a renewal that was begun at the given time has taken effect.
-func (h *OwnLease) Renewed(begun clock.Instant) {
-	h.renewedAt = begun
-	h.held = true
+func (l *OwnLease) Renewed(begun clock.Instant) {
+	l.renewedAt = begun
+	l.held = true
 }
 
 // GivenUp records that the lease is given up.
-func (h *OwnLease) GivenUp() { h.held = false }
+func (l *OwnLease) GivenUp() { l.held = false }
 
-// Until returns the time by which the holder must stop acting; clock.Never if it holds no lease.
-func (h *OwnLease) Until() clock.Instant {
-	if !h.held {
+// Until returns the time by which this instance must stop acting under the lease; clock.Never if it
+// does not hold it.
+func (l *OwnLease) Until() clock.Instant {
+	if !l.held {
 		return clock.Never
 	}
-	return h.renewedAt.Add(Duration - SafetyMargin)
+	return l.renewedAt.Add(Duration - SafetyMargin)
 }
 
-// Valid reports whether the holder may act under the lease.
-func (h *OwnLease) Valid(now clock.Instant) bool { return now < h.Until() }
+// Valid reports whether this instance may act under the lease.
+func (l *OwnLease) Valid(now clock.Instant) bool { return now < l.Until() }
 
 // Observer tracks the lease's row for an instance that does not hold the lease.
 type Observer struct {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -18,28 +18,28 @@
 const start = clock.Instant(time.Hour)
 
 var _ = Describe("a lease", func() {
-	// Guards against two leaders. A renewal takes effect, but its answer is slow. An observer waits
-	// for the duration of a lease from when it sees the new version, while the holder counts from
-	// the answer. The holder must count from the beginning of the renewal.
-	It("ends for its holder before any other instance may take it", func() {
-		var h OwnLease
+	// Guards against two leaders. A renewal takes effect, but the store's response is slow. An
+	// observer waits for the duration of a lease from when it sees the new version, while the
+	// holder counts from the response. The holder must count from the beginning of the renewal.
+	It("expires for its holder before any other instance may take it", func() {
+		var own OwnLease
 		var o Observer
 		begun, seen, answered := start, start.Add(300*time.Millisecond), start.Add(600*time.Millisecond)
-		h.Renewed(begun)
+		own.Renewed(begun)
 		o.Observe(7, false, seen)
-		Expect(h.Valid(answered)).To(BeTrue())
+		Expect(own.Valid(answered)).To(BeTrue())
 		for t := answered; t < start.Add(5*time.Second); t = t.Add(time.Millisecond) {
-			Expect(h.Valid(t) && o.MayAcquire(t)).To(BeFalse())
+			Expect(own.Valid(t) && o.MayAcquire(t)).To(BeFalse())
 		}
 		Expect(o.MayAcquire(start.Add(5 * time.Second))).To(BeTrue())
 	})
 
-	It("is not free for an observer whose clock runs fast within the tolerance", func() {
-		var h OwnLease
+	It("does not count as free for an observer whose clock runs fast within the tolerance", func() {
+		var own OwnLease
 		var o Observer
-		h.Renewed(start)
+		own.Renewed(start)
 		o.Observe(7, false, start)
-		end := h.Until().Sub(start)
+		end := own.Until().Sub(start)
 		fast := time.Duration(float64(end) * (1 + ClockTolerance))
 		Expect(o.MayAcquire(start.Add(fast))).To(BeFalse())
 	})
@@ -61,11 +61,11 @@
 		Expect(o.MayAcquire(start)).To(BeTrue())
 	})
 
-	It("is not valid before the first renewal and after its release", func() {
-		var h OwnLease
-		Expect(h.Valid(start)).To(BeFalse())
-		h.Renewed(start)
-		h.GivenUp()
-		Expect(h.Valid(start)).To(BeFalse())
+	It("is not valid before the first renewal and after it was given up", func() {
+		var own OwnLease
+		Expect(own.Valid(start)).To(BeFalse())
+		own.Renewed(start)
+		own.GivenUp()
+		Expect(own.Valid(start)).To(BeFalse())
 	})
 })
