--- a/transport/front/attempt.go
+++ b/transport/front/attempt.go
@@ -15,21 +15,22 @@
 	"lycheehall.example/lycheehall/transport/upstream"
 )
 
-// attempt sends the request to the target of the permit and reports whether to make another
-// attempt. ctx bounds the work at the target, wait bounds waiting in this instance.
-func (c *call) attempt(ctx, wait context.Context, p permit.Permit) (result, bool) {
+// makeAttempt sends the request to the target of the permit and reports whether to make another
+// attempt. ctx limits the work at the target, wait the waiting in this instance.
+func (c *call) makeAttempt(ctx, wait context.Context, p permit.Permit) (result, bool) {
 	t, known := c.h.board.Snapshot().Targets[p.Target]
 	if !known || !c.maySendTo(t) {
-		// The target's state may have changed while the request waited for the permit.
+		// While the request waited for the permit, the target may have been removed, or may have
+		// reported that it is leaving or a pause.
 		c.h.permits.Release(c.permitReport(p, permit.ResultDropped, 0))
 		c.attempts++
 		if !c.keyed || !known {
-			c.awaitUpdate(wait, recheckWait)
+			c.awaitUpdate(wait, maxUpdateWait)
 		}
-		return notExecuted("no-target", unavailableRetryAfter), c.attempts < maxTotalAttempts && wait.Err() == nil
+		return notExecutedResult("no-target", unavailableRetryAfter), c.attempts < maxTotalAttempts && wait.Err() == nil
 	}
 	if res, ok := c.checkQuarantine(); !ok {
-		// The request was quarantined while it waited: other instances saw it crash targets.
+		// The request was quarantined while it waited: it crashed targets at other instances.
 		c.h.permits.Release(c.permitReport(p, permit.ResultDropped, 0))
 		return res, false
 	}
@@ -96,7 +97,7 @@
 	}
 	return &upstream.Request{
 		ID: c.id, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host,
-		Header: header, Body: c.body, Idempotent: c.action.Idempotent,
+		Header: header, Body: c.body, Idempotent: c.then.Idempotent,
 	}
 }
 
@@ -108,14 +109,14 @@
 		return result{response: resp}, false
 	case err == nil:
 		// The target itself failed: the request was executed.
-		retry := c.action.Idempotent && !c.keyed && c.mayRetry(wait)
+		retry := c.then.Idempotent && !c.keyed && c.mayRetry(wait)
 		return result{response: resp}, retry
 	case errors.Is(err, upstream.ErrNotSent):
-		c.awaitUpdate(wait, recheckWait)
+		c.awaitUpdate(wait, maxUpdateWait)
 		if wait.Err() != nil {
-			return c.waitEnded(), false
+			return c.resultOfEndedWait(), false
 		}
-		return notExecuted("target-unreachable", unavailableRetryAfter), c.attempts < maxTotalAttempts
+		return notExecutedResult("target-unreachable", unavailableRetryAfter), c.attempts < maxTotalAttempts
 	case errors.Is(err, upstream.ErrNotExecuted):
 		return c.afterNotExecuted(wait, err)
 	}
@@ -123,39 +124,40 @@
 	if ctx.Err() != nil {
 		return result{refusal: refusal{http.StatusGatewayTimeout, "deadline", 0}}, false
 	}
-	return result{refusal: refusal{http.StatusBadGateway, "broken-off", 0}}, c.action.Idempotent && c.mayRetry(wait)
+	return result{refusal: refusal{http.StatusBadGateway, "broken-off", 0}}, c.then.Idempotent && c.mayRetry(wait)
 }
 
-// afterNotExecuted decides how to go on after the target said that it did not execute the request.
-// If the target does not own the key (status 421), it first waits for an update of the owner.
+// afterNotExecuted decides how to go on after the target reported that it did not execute the
+// request. If the target does not own the key (status 421), it first waits for an update of the
+// owner.
 func (c *call) afterNotExecuted(ctx context.Context, err error) (result, bool) {
 	var refusedBy *upstream.NotExecutedError
 	if errors.As(err, &refusedBy) && refusedBy.Status == http.StatusMisdirectedRequest {
-		c.awaitUpdate(ctx, recheckWait)
+		c.awaitUpdate(ctx, maxUpdateWait)
 	}
-	if refusedBy != nil && c.keyed && refusedBy.TargetStatus.Pause > recheckWait {
+	if refusedBy != nil && c.keyed && refusedBy.TargetStatus.Pause > maxUpdateWait {
 		// No other target owns the key.
-		return notExecuted("target-paused", refusedBy.TargetStatus.Pause), false
+		return notExecutedResult("target-paused", refusedBy.TargetStatus.Pause), false
 	}
 	if ctx.Err() != nil {
-		return c.waitEnded(), false
+		return c.resultOfEndedWait(), false
 	}
-	return notExecuted("target-refused", refusedRetryAfter), c.mayRetry(ctx)
+	return notExecutedResult("target-refused", refusedRetryAfter), c.mayRetry(ctx)
 }
 
-// mayRetry reports whether the request may be sent once more: within the rule's attempts, the time
-// left, and the retry budget that all instances share. It takes the retry out of the budget.
+// mayRetry reports whether there may be a retry: within the rule's attempts, the time left, and the
+// retry budget that all instances share. It deducts the retry from the budget.
 func (c *call) mayRetry(ctx context.Context) bool {
 	expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
-	if len(c.triedTargets) >= c.action.MaxAttempts || len(c.exitedTargets) >= quarantine.CrashLimit || time.Until(c.deadline) < expected || ctx.Err() != nil {
+	if len(c.triedTargets) >= c.then.MaxAttempts || len(c.exitedTargets) >= quarantine.CrashLimit || time.Until(c.deadline) < expected || ctx.Err() != nil {
 		return false
 	}
-	return c.h.budget.AllowRetry(c.service.Name, len(c.snapshot.Instances), c.isLastChance(expected))
+	return c.h.budget.AllowRetry(c.service.Name, len(c.snapshot.Instances), c.callerCannotRetry(expected))
 }
 
-// isLastChance reports whether a refusal with Retry-After is of no use to the caller: it has come
-// back once already, its time would be over by then, or the outcome is unknown, so that it cannot
-// be told to retry.
-func (c *call) isLastChance(expected time.Duration) bool {
+// callerCannotRetry reports whether a refusal with Retry-After cannot help the caller: it has
+// retried already, it has too little time left, or the outcome is unknown, so that it cannot be
+// told to retry.
+func (c *call) callerCannotRetry(expected time.Duration) bool {
 	return c.outcomeUnknown || c.returning || time.Until(c.deadline) < refusedRetryAfter+2*expected
 }
--- a/transport/front/call.go
+++ b/transport/front/call.go
@@ -18,28 +18,30 @@
 	// responseMargin is subtracted from the caller's timeout, so that a response of this instance
 	// still reaches the caller in time.
 	responseMargin = 15 * time.Millisecond
-	// startupRetryAfter is the Retry-After while this instance has no configuration yet.
+	// startupRetryAfter is the Retry-After while this instance has no rules yet, or no map of the
+	// service's keys.
 	startupRetryAfter = 500 * time.Millisecond
-	// stoppingRetryAfter is the Retry-After while this instance stops: another instance takes the
-	// caller's next connection at once.
+	// stoppingRetryAfter is the Retry-After while this instance shuts down. The caller's next
+	// connection goes to another instance.
 	stoppingRetryAfter = 50 * time.Millisecond
 	// limitRetryAfter is the Retry-After when the rule's limit is reached.
 	limitRetryAfter = time.Second
 	// unavailableRetryAfter is the Retry-After when the owner of the key was lost or no target
-	// could take the request. Most keys of a lost owner are served again after the time to detect
+	// could accept the request. Most keys of a lost owner are served again after the time to detect
 	// the loss and the hold of its grant.
 	unavailableRetryAfter = time.Second
 	// refusedRetryAfter is the Retry-After when the target refused the request although it had a
-	// free slot, and the retry budget is spent. It is short: where targets refuse half of their
-	// requests, a caller that comes back at once is still served within its aim.
+	// free slot, and the retry budget is spent. It is short, so that a caller that retries at once
+	// can still get a response within its aim, even where targets refuse half of their requests.
 	refusedRetryAfter = 100 * time.Millisecond
-	// maxMoveWait bounds the wait for a key that is being reassigned. The former owner first has to
-	// finish its running work.
-	maxMoveWait = 1500 * time.Millisecond
-	// recheckWait bounds the wait for an update after the target refused the request or was
-	// unreachable. Longer pauses of a target are not waited for.
-	recheckWait = 150 * time.Millisecond
-	// maxTotalAttempts bounds the attempts of one request, whatever the rule allows: the rule's
+	// maxReassignWait limits the wait for a key that is being reassigned. The previous owner first
+	// finishes its running work.
+	maxReassignWait = 1500 * time.Millisecond
+	// maxUpdateWait limits the wait for an update after the target refused the request or was
+	// unreachable. It is also the longest pause of a target that is waited for; during a longer
+	// one, requests are refused.
+	maxUpdateWait = 150 * time.Millisecond
+	// maxTotalAttempts limits the attempts of one request, whatever the rule allows: the rule's
 	// limit does not count attempts that reached no target.
 	maxTotalAttempts = 6
 )
@@ -55,15 +57,15 @@
 
 	snapshot *view.Snapshot
 	decision rules.Decision
-	action   *rules.Then
+	then     *rules.Then
 	service  *rules.Service
 	key      uint16
 	keyed    bool
 	body     []byte
-	// returning says that the caller was refused before and came back; elapsed is the time since
-	// its first request.
-	returning bool
-	elapsed   time.Duration
+	// returning says that the request is a retry by a caller that was refused before;
+	// sinceFirstRequest is the time since that caller's first request.
+	returning         bool
+	sinceFirstRequest time.Duration
 	// callerTimeout is the timeout that the caller sent; 0 if it sent none.
 	callerTimeout time.Duration
 
@@ -73,11 +75,11 @@
 	exitedTargets []string
 
 	// The following fields are logged.
-	attempts     int
-	triedTargets []string
-	queuedFor    time.Duration
-	heldFor      time.Duration
-	mapVersion   uint64
+	attempts        int
+	triedTargets    []string
+	queuedFor       time.Duration
+	waitedForUpdate time.Duration
+	mapVersion      uint64
 	// outcomeUnknown says that an attempt may have been executed.
 	outcomeUnknown bool
 	lastErr        error
@@ -116,7 +118,7 @@
 func (c *call) route() (result, bool) {
 	c.snapshot = c.h.board.Snapshot()
 	if c.snapshot.Rules == nil {
-		return notExecuted("no-rules", startupRetryAfter), false
+		return notExecutedResult("no-rules", startupRetryAfter), false
 	}
 	c.decision = c.snapshot.Rules.Decide(&rules.Request{
 		Method: c.r.Method, Host: c.r.Host, URL: c.r.URL, Header: c.r.Header, DataCentre: c.h.config.DataCentre,
@@ -124,12 +126,12 @@
 	if c.decision.Rule == nil {
 		return result{refusal: refusal{http.StatusNotFound, "no-rule", 0}}, false
 	}
-	c.action = &c.decision.Rule.Then
-	if f := c.action.Refuse; f != nil {
-		return result{refusal: refusal{f.Status, f.Message, time.Duration(f.RetryAfter)}}, false
+	c.then = &c.decision.Rule.Then
+	if refuse := c.then.Refuse; refuse != nil {
+		return result{refusal: refusal{refuse.Status, refuse.Message, time.Duration(refuse.RetryAfter)}}, false
 	}
-	name := c.action.Route
-	if len(c.action.Backends) > 0 {
+	name := c.then.Route
+	if len(c.then.Backends) > 0 {
 		name = c.h.backends.Pick(c.decision.Rule)
 	}
 	c.service = c.snapshot.Rules.Service(name)
@@ -150,7 +152,7 @@
 	if ms, err := strconv.ParseInt(c.r.Header.Get(c.h.config.Names.Timeout), 10, 64); err == nil && ms > 0 {
 		timeout := time.Duration(ms) * time.Millisecond
 		c.callerTimeout = timeout
-		c.elapsed, c.returning = c.h.returns.Observe(c.decision.Rule.Name, timeout)
+		c.sinceFirstRequest, c.returning = c.h.callerRetries.Observe(c.decision.Rule.Name, timeout)
 		left = min(left, timeout)
 	}
 	c.deadline = c.start.Add(left - responseMargin)
@@ -165,7 +167,7 @@
 		return result{refusal: refusal{http.StatusRequestEntityTooLarge, "body-too-large", 0}}, false
 	}
 	// A slow caller must not hold the request open indefinitely. The error is ignored: where the
-	// connection does not support deadlines, as in tests, there is nothing to bound.
+	// connection does not support deadlines, as in tests, there is nothing to limit.
 	control := http.NewResponseController(c.w)
 	_ = control.SetReadDeadline(c.deadline)
 	body, err := io.ReadAll(io.LimitReader(c.r.Body, c.h.config.MaxBody+1))
@@ -181,9 +183,9 @@
 	return result{}, true
 }
 
-// run makes attempts until the request is answered or given up.
+// run makes attempts until there is a response or the request is given up.
 func (c *call) run(ctx context.Context) result {
-	// When the instance stops, waits end earlier than work.
+	// When the instance shuts down, waits end earlier than running requests.
 	wait, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(c.h.waitCtx, cancel)()
@@ -196,7 +198,7 @@
 		if err != nil {
 			return c.withUnknownOutcome(c.permitError(wait, err))
 		}
-		res, retry := c.attempt(ctx, wait, p)
+		res, retry := c.makeAttempt(ctx, wait, p)
 		if !retry {
 			return c.withUnknownOutcome(res)
 		}
@@ -214,7 +216,7 @@
 }
 
 // findOwner returns the target that owns the key. While the key is being reassigned it waits, if
-// enough time is left. The target is empty for services without keys.
+// enough time is left. The target is empty for services that are not keyed.
 func (c *call) findOwner(ctx context.Context) (string, result, bool) {
 	if !c.keyed {
 		c.snapshot = c.h.board.Snapshot()
@@ -224,7 +226,7 @@
 		c.snapshot = c.h.board.Snapshot()
 		m := c.snapshot.Maps[c.service.Name]
 		if m == nil {
-			return "", notExecuted("no-owner", startupRetryAfter), false
+			return "", notExecutedResult("no-owner", startupRetryAfter), false
 		}
 		r := m.Find(c.key)
 		c.mapVersion = m.Version
@@ -236,18 +238,18 @@
 			return r.Owner, result{}, true
 		}
 		if r.Served() && known && c.cannotReassign() {
-			return "", notExecuted("owner-leaves", unavailableRetryAfter), false
+			return "", notExecutedResult("owner-leaves", unavailableRetryAfter), false
 		}
 		if r.Lost || r.Owner == "" {
-			return "", notExecuted("owner-lost", unavailableRetryAfter), false
+			return "", notExecutedResult("owner-lost", unavailableRetryAfter), false
 		}
 		expected := c.h.collector.MeanDuration(c.decision.Rule.Name)
-		if time.Until(c.deadline) < expected || c.heldFor > maxMoveWait {
-			return "", notExecuted("moving", unavailableRetryAfter/2), false
+		if time.Until(c.deadline) < expected || c.waitedForUpdate > maxReassignWait {
+			return "", notExecutedResult("moving", unavailableRetryAfter/2), false
 		}
-		c.awaitUpdate(ctx, maxMoveWait)
+		c.awaitUpdate(ctx, maxReassignWait)
 		if ctx.Err() != nil {
-			return "", c.waitEnded(), false
+			return "", c.resultOfEndedWait(), false
 		}
 	}
 }
@@ -262,15 +264,15 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	c.heldFor += time.Since(start)
+	c.waitedForUpdate += time.Since(start)
 }
 
 func (c *call) acquirePermit(ctx context.Context, target string) (permit.Permit, error) {
 	ask := permit.Ask{
 		ID:      c.h.idPrefix + "-" + strconv.FormatUint(c.h.lastID.Add(1), 36),
 		Service: c.service.Name, Target: target, Rule: c.decision.Rule.Name,
-		Priority:  c.action.Priority,
-		AimLeft:   time.Duration(c.action.Aim) - c.elapsed - time.Since(c.start),
+		Priority:  c.then.Priority,
+		AimLeft:   time.Duration(c.then.Aim) - c.sinceFirstRequest - time.Since(c.start),
 		Left:      time.Until(c.deadline),
 		Returning: c.returning, DataCentre: c.h.config.DataCentre,
 		Abroad: permit.CrossDataCentreCost(c.h.collector.MeanResponseSize(c.decision.Rule.Name)),
@@ -290,34 +292,35 @@
 func (c *call) permitError(ctx context.Context, err error) result {
 	var refused *permit.RefusedError
 	if errors.As(err, &refused) {
-		return notExecuted(refused.Reason, refused.RetryAfter)
+		return notExecutedResult(refused.Reason, refused.RetryAfter)
 	}
 	c.lastErr = err
 	if ctx.Err() != nil {
-		return c.waitEnded()
+		return c.resultOfEndedWait()
 	}
-	return notExecuted("no-permit", unavailableRetryAfter)
+	return notExecutedResult("no-permit", unavailableRetryAfter)
 }
 
-// waitEnded returns the result for a request whose wait has ended: the caller has gone, the
-// instance is stopping, or the time is over. It must only be called while no attempt is running.
-func (c *call) waitEnded() result {
+// resultOfEndedWait returns the result for a request whose wait has ended: the caller has gone, the
+// instance is shutting down, or the time is over. It must only be called while no attempt is
+// running.
+func (c *call) resultOfEndedWait() result {
 	switch {
 	case c.r.Context().Err() != nil:
-		return notExecuted("caller-gone", 0)
+		return notExecutedResult("caller-gone", 0)
 	case c.h.waitCtx.Err() != nil:
-		return notExecuted("stopping", stoppingRetryAfter)
+		return notExecutedResult("stopping", stoppingRetryAfter)
 	}
-	return notExecuted("deadline", unavailableRetryAfter/2)
+	return notExecutedResult("deadline", unavailableRetryAfter/2)
 }
 
 // logRequest updates the request metrics and writes the log line of the request.
 func (c *call) logRequest(res result) {
 	took := time.Since(c.start)
-	known := c.h.clock.Now().Sub(c.h.board.CurrentAsOf())
+	dataAge := c.h.clock.Now().Sub(c.h.board.CurrentAsOf())
 	requestSeconds.Update(took.Seconds())
 	if c.snapshot.Rules != nil {
-		snapshotAgeSeconds.Update(known.Seconds())
+		snapshotAgeSeconds.Update(dataAge.Seconds())
 	}
 	status, reason := res.refusal.status, res.refusal.reason
 	if res.response != nil {
@@ -325,14 +328,14 @@
 	}
 	fields := []any{
 		"request", c.id, "status", status, "outcome", reason, "took_ms", took.Milliseconds(), "given_ms", c.callerTimeout.Milliseconds(),
-		"rules", c.snapshot.RulesVersion, "known_ms", known.Milliseconds(),
+		"rules", c.snapshot.RulesVersion, "known_ms", dataAge.Milliseconds(),
 	}
 	if c.decision.Rule != nil {
 		fields = append(fields, "rule", c.decision.Rule.Name)
 	}
 	if c.service != nil {
 		fields = append(fields, "service", c.service.Name, "tries", c.attempts, "targets", c.triedTargets,
-			"queued_ms", c.queuedFor.Milliseconds(), "held_ms", c.heldFor.Milliseconds())
+			"queued_ms", c.queuedFor.Milliseconds(), "held_ms", c.waitedForUpdate.Milliseconds())
 	}
 	if c.keyed {
 		fields = append(fields, "key", c.key, "map", c.mapVersion)
--- a/transport/front/returning.go
+++ b/transport/front/callerretries.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// ReturnDetector tells a caller's first request from one that was refused before and has come back
-// with less time left. It learns the initial timeouts of each rule's callers. It is safe for
+// CallerRetryDetector distinguishes a caller's first request from its retry after a refusal, which
+// has less time left. It learns the initial timeouts of each rule's callers. It is safe for
 // concurrent use.
 //
-// The timeouts of first requests lie in a band at the top of all timeouts: a single value or, where
-// callers differ, a band up to a quarter wide. It is not enough to compare with the longest timeout
-// seen: where timeouts vary a little, nearly all first requests would then count as returning ones
-// and have most of their aim used up.
-type ReturnDetector struct {
+// The timeouts of first requests are the longest ones, and may differ by up to a quarter. Comparing
+// with the single longest timeout would take nearly all first requests for retries where timeouts
+// vary a little, and would count most of their aim as used up.
+type CallerRetryDetector struct {
 	mu     sync.Mutex
 	byRule map[string]*timeoutCounts
 }
@@ -24,7 +23,8 @@
 type timeoutCounts struct {
 	counts map[int]float64
 	total  float64
-	// sinceSearch is the number of requests since the last search for the band.
+	// sinceSearch is the number of requests since the last search for the band, the range of steps
+	// that holds the timeouts of first requests.
 	sinceSearch int
 	// from and to are the first and last step of the band.
 	from, to int
@@ -38,8 +38,8 @@
 	// minTopShare is the smallest share of requests in the top step of the band. Single callers may
 	// have longer timeouts.
 	minTopShare = 0.02
-	// minRelativeCount is how low a step's count may be, relative to the mean of the steps of the
-	// band above it, for the step to belong to the band.
+	// minRelativeCount is the smallest count of a step of the band, relative to the mean count of
+	// the steps of the band above it.
 	minRelativeCount = 0.2
 	// decayAt is the total weight at which all counts are halved.
 	decayAt = 512
@@ -48,12 +48,14 @@
 	searchEvery = 16
 )
 
-// NewReturnDetector returns a detector without any history.
-func NewReturnDetector() *ReturnDetector { return &ReturnDetector{byRule: map[string]*timeoutCounts{}} }
+// NewCallerRetryDetector returns a detector without any history.
+func NewCallerRetryDetector() *CallerRetryDetector {
+	return &CallerRetryDetector{byRule: map[string]*timeoutCounts{}}
+}
 
-// Observe records the timeout that a caller sent. It reports whether the request is a returning
-// one, and estimates the time since the caller's first request.
-func (d *ReturnDetector) Observe(rule string, timeout time.Duration) (elapsed time.Duration, returning bool) {
+// Observe records the timeout that a caller sent. It reports whether the request is a caller's
+// retry, and estimates the time since the caller's first request.
+func (d *CallerRetryDetector) Observe(rule string, timeout time.Duration) (elapsed time.Duration, returning bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.byRule[rule]
--- a/transport/front/front_test.go
+++ b/transport/front/front_test.go
@@ -61,22 +61,22 @@
 then = { refuse = { status = 403, message = "not here", retry_after = "2s" } }
 `
 
-// fakeUpstream is an Upstream that plays a script of responses, then answers with success.
+// fakeUpstream is an Upstream that plays a script of responses, then responds with success.
 type fakeUpstream struct {
 	mu       sync.Mutex
 	requests []upstream.Request
 	script   []func(ctx context.Context) (*upstream.Response, error)
 }
 
-func (a *fakeUpstream) Do(ctx context.Context, _ upstream.Target, r *upstream.Request) (*upstream.Response, error) {
-	a.mu.Lock()
-	a.requests = append(a.requests, *r)
+func (u *fakeUpstream) Do(ctx context.Context, _ upstream.Target, r *upstream.Request) (*upstream.Response, error) {
+	u.mu.Lock()
+	u.requests = append(u.requests, *r)
 	play := respondOK
-	if len(a.script) > 0 {
-		play = a.script[0]
-		a.script = a.script[1:]
+	if len(u.script) > 0 {
+		play = u.script[0]
+		u.script = u.script[1:]
 	}
-	a.mu.Unlock()
+	u.mu.Unlock()
 	return play(ctx)
 }
 
@@ -92,7 +92,7 @@
 	return func(context.Context) (*upstream.Response, error) { return nil, err }
 }
 
-func hang(ctx context.Context) (*upstream.Response, error) {
+func respondNever(ctx context.Context) (*upstream.Response, error) {
 	<-ctx.Done()
 	return nil, fmt.Errorf("%w: %w", upstream.ErrOutcomeUnknown, ctx.Err())
 }
@@ -100,7 +100,7 @@
 var (
 	notSent        = failWith(fmt.Errorf("%w: refused", upstream.ErrNotSent))
 	outcomeUnknown = failWith(fmt.Errorf("%w: reset", upstream.ErrOutcomeUnknown))
-	shed           = failWith(&upstream.NotExecutedError{Status: 503})
+	targetRefuses  = failWith(&upstream.NotExecutedError{Status: 503})
 	notOwner       = failWith(&upstream.NotExecutedError{Status: 421})
 )
 
@@ -143,10 +143,10 @@
 func (c *offsetClock) Now() clock.Instant { return clock.System{}.Now().Add(c.offset) }
 
 type fixture struct {
-	// statusClock is the clock of the target status registry.
+	// statusClock is the clock of the target status tracker.
 	statusClock *offsetClock
 	h           *Handler
-	up          *fakeUpstream
+	upstream    *fakeUpstream
 	permits     *fakePermits
 	board       *view.Board
 	logLines    []string
@@ -155,7 +155,7 @@
 
 func newFixture() *fixture {
 	GinkgoHelper()
-	f := &fixture{up: &fakeUpstream{}, permits: &fakePermits{}, statusClock: &offsetClock{}, board: view.NewBoard(clock.System{})}
+	f := &fixture{upstream: &fakeUpstream{}, permits: &fakePermits{}, statusClock: &offsetClock{}, board: view.NewBoard(clock.System{})}
 	set, err := rules.Parse("rules", ruleText)
 	Expect(err).NotTo(HaveOccurred())
 	now := clock.System{}.Now()
@@ -167,7 +167,7 @@
 	f.board.SetInstances(view.InstancesVersion{Term: 1, Count: 1}, []view.Instance{{ID: "i"}})
 	f.setOwner("k1", "", false)
 	budget := NewRetryBudget(clock.System{}, RetryBudgetConfig{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewTracker(f.statusClock, 2*time.Second)}, clock.System{}, "i", f.board, f.up, f.permits, demand.NewCollector(), budget,
+	f.h = NewHandler(Config{Names: names, MaxBody: 1 << 20, TargetStatus: targetstatus.NewTracker(f.statusClock, 2*time.Second)}, clock.System{}, "i", f.board, f.upstream, f.permits, demand.NewCollector(), budget,
 		func(event string, fields ...any) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -211,10 +211,10 @@
 	DescribeTable("follow the table in the package documentation",
 		func(method string, responses script, status, attempts int) {
 			f := newFixture()
-			f.up.script = responses
+			f.upstream.script = responses
 			w := f.do(method, "/k/a")
 			Expect(w.Code).To(Equal(status))
-			Expect(f.up.requests).To(HaveLen(attempts))
+			Expect(f.upstream.requests).To(HaveLen(attempts))
 			if status == 503 {
 				Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
 			} else {
@@ -223,19 +223,19 @@
 		},
 		Entry("a response", "POST", script{respondOK}, 200, 1),
 		Entry("not sent, then a response", "POST", script{notSent, respondOK}, 200, 2),
-		Entry("not executed, then a response", "POST", script{shed, respondOK}, 200, 2),
+		Entry("not executed, then a response", "POST", script{targetRefuses, respondOK}, 200, 2),
 		Entry("not the owner, then a response", "POST", script{notOwner, respondOK}, 200, 2),
 		Entry("broken off, not idempotent", "POST", script{outcomeUnknown, respondOK}, 502, 1),
 		Entry("broken off, idempotent", "GET", script{outcomeUnknown, respondOK}, 200, 2),
-		Entry("not executed three times", "POST", script{shed, shed, shed, respondOK}, 503, 3),
-		Entry("broken off, then refused: it may have been executed", "GET", script{outcomeUnknown, shed, shed}, 502, 3),
-		Entry("no response until the deadline", "POST", script{hang}, 504, 1),
+		Entry("not executed three times", "POST", script{targetRefuses, targetRefuses, targetRefuses, respondOK}, 503, 3),
+		Entry("broken off, then refused: it may have been executed", "GET", script{outcomeUnknown, targetRefuses, targetRefuses}, 502, 3),
+		Entry("no response until the deadline", "POST", script{respondNever}, 504, 1),
 		Entry("a failure of the target itself", "POST", script{respondFailure, respondOK}, 500, 1),
 	)
 
 	It("release the permit after each attempt", func() {
 		f := newFixture()
-		f.up.script = script{shed, respondOK}
+		f.upstream.script = script{targetRefuses, respondOK}
 		f.do("POST", "/k/a")
 		Expect(f.permits.reports).To(HaveLen(2))
 		Expect(f.permits.reports[0].Result).To(Equal(permit.ResultNotExecuted))
@@ -252,11 +252,11 @@
 		seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seconds).To(BeNumerically("~", 0.35, 0.001))
-		Expect(f.up.requests).To(BeEmpty())
+		Expect(f.upstream.requests).To(BeEmpty())
 	})
 
-	// Guards against refusing requests while their key is being reassigned. In a planned move the
-	// next owner has the key some 30 ms later.
+	// Guards against refusing requests while their key is being reassigned. If the owner still
+	// runs, the next owner has the key some 30 ms later.
 	It("waits for a key that is being reassigned", func() {
 		f := newFixture()
 		f.setOwner("k1", "k2", false)
@@ -272,9 +272,9 @@
 		Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
-	// Guards against sending to a target that has been draining for long. It may still own its
-	// keys, because they cannot be reassigned.
-	It("is not sent to an owner that has been draining for long", func() {
+	// Guards against sending to a target whose drain time is over. It may still own its keys,
+	// because they cannot be reassigned.
+	It("is not sent to an owner whose drain time is over", func() {
 		f := newFixture()
 		now := clock.System{}.Now()
 		list := map[string]view.Target{"k1": {ID: "k1", Service: "keyed", Address: "k1", Slots: 2, Draining: true}}
@@ -284,9 +284,9 @@
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
 	})
 
-	// Guards against checking for draining targets only before the wait for a permit. The target
-	// may begin to drain while the request waits for a slot.
-	It("is not sent to an owner that began to drain while it waited for a slot", func() {
+	// Guards against checking for leaving targets only before the wait for a permit. The drain time
+	// of the target may end while the request waits for a slot.
+	It("is not sent to an owner whose drain time ended while it waited for a slot", func() {
 		f := newFixture()
 		f.permits.beforeGrant = func() {
 			now := clock.System{}.Now()
@@ -294,32 +294,32 @@
 			time.Sleep(view.DrainGrace + 50*time.Millisecond)
 		}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(503))
-		Expect(f.up.requests).To(BeEmpty())
+		Expect(f.upstream.requests).To(BeEmpty())
 	})
 
 	It("has the shorter of the caller's and the rule's timeout", func() {
 		f := newFixture()
-		f.up.script = script{hang}
+		f.upstream.script = script{respondNever}
 		start := time.Now()
 		Expect(f.do("POST", "/k/a", "Timeout-Ms", "150").Code).To(Equal(504))
 		Expect(time.Since(start)).To(BeNumerically("~", 135*time.Millisecond, 60*time.Millisecond))
 	})
 
-	It("is sent with the number of its key and its own id", func() {
+	It("is sent with its key number and its own ID", func() {
 		f := newFixture()
 		f.do("POST", "/k/a")
-		Expect(f.up.requests[0].Header.Get("Key")).To(MatchRegexp(`^\d+$`))
-		Expect(f.up.requests[0].Header.Get("Id")).To(Equal("r1"))
-		Expect(string(f.up.requests[0].Body)).To(Equal("body"))
+		Expect(f.upstream.requests[0].Header.Get("Key")).To(MatchRegexp(`^\d+$`))
+		Expect(f.upstream.requests[0].Header.Get("Id")).To(Equal("r1"))
+		Expect(string(f.upstream.requests[0].Body)).To(Equal("body"))
 	})
 
-	It("is answered by a rule that refuses", func() {
+	It("gets the response of a rule that refuses", func() {
 		w := newFixture().do("GET", "/no")
 		Expect(w.Code).To(Equal(403))
 		Expect(w.Header().Get("Retry-After")).To(Equal("2.000"))
 	})
 
-	It("is answered with 404 when no rule matches", func() { Expect(newFixture().do("GET", "/elsewhere").Code).To(Equal(404)) })
+	It("gets 404 when no rule matches", func() { Expect(newFixture().do("GET", "/elsewhere").Code).To(Equal(404)) })
 
 	It("is refused as not executed while no rules are known", func() {
 		f := newFixture()
@@ -330,14 +330,14 @@
 	It("is refused beyond the rule's limit", func() {
 		f := newFixture()
 		started, end := make(chan struct{}), make(chan struct{})
-		f.up.script = script{func(ctx context.Context) (*upstream.Response, error) { close(started); <-end; return respondOK(ctx) }}
+		f.upstream.script = script{func(ctx context.Context) (*upstream.Response, error) { close(started); <-end; return respondOK(ctx) }}
 		go f.do("GET", "/limited")
 		<-started
 		Expect(f.do("GET", "/limited").Code).To(Equal(429))
 		close(end)
 	})
 
-	It("writes one log line with what decided it", func() {
+	It("writes one log line that shows how it was handled", func() {
 		f := newFixture()
 		f.do("POST", "/k/a")
 		Expect(f.logLines).To(HaveLen(1))
@@ -346,10 +346,10 @@
 		}
 	})
 
-	// Guards against requests without any response when the instance stops. The request waits for a
-	// key that is being reassigned until the grace period ends and the process exits; its wait must
-	// not only end with the request's own deadline.
-	It("is refused as not executed when the instance stops while it waits", func() {
+	// Guards against requests without any response when the instance shuts down. The request waits
+	// for a key that is being reassigned until the grace period ends and the process exits; its
+	// wait must not only end with the request's own deadline.
+	It("is refused as not executed when the instance shuts down while it waits", func() {
 		f := newFixture()
 		f.setOwner("k1", "k2", false)
 		time.AfterFunc(50*time.Millisecond, f.h.RefuseWaiting)
@@ -358,9 +358,9 @@
 		Expect(w.Body.String()).To(Equal("stopping\n"))
 	})
 
-	It("is not aborted at its target by RefuseWaiting, but by AbortRunning", func() {
+	It("is aborted by AbortRunning but not by RefuseWaiting, when a target runs it", func() {
 		f := newFixture()
-		f.up.script = script{hang}
+		f.upstream.script = script{respondNever}
 		start := time.Now()
 		f.h.RefuseWaiting()
 		time.AfterFunc(150*time.Millisecond, f.h.AbortRunning)
@@ -368,14 +368,14 @@
 		Expect(time.Since(start)).To(BeNumerically("~", 150*time.Millisecond, 100*time.Millisecond))
 	})
 
-	It("is answered with Connection: close when the instance stops", func() {
+	It("gets Connection: close when the instance shuts down", func() {
 		f := newFixture()
 		f.h.DisableKeepAlives()
 		Expect(f.do("GET", "/k/a").Header().Get("Connection")).To(Equal("close"))
 	})
 })
 
-// TestResponseBodies checks that a response is passed on to the caller unchanged, without the
+// TestResponseBodies checks that a response is forwarded to the caller unchanged, without the
 // headers that concern only the connection.
 func TestResponseBodies(t *testing.T) {
 	w := httptest.NewRecorder()
--- a/transport/front/handler.go
+++ b/transport/front/handler.go
@@ -41,37 +41,38 @@
 	// MaxBody is the largest request body accepted, in bytes.
 	MaxBody int64
 	// Quarantine holds the requests that must not be sent to any target. If it is nil, the handler
-	// uses a registry of its own, which knows only the crashes that it sees itself.
+	// uses a tracker of its own, which knows only the crashes that it observes itself.
 	Quarantine *quarantine.Tracker
 	// TargetStatus holds what targets have reported about themselves. If it is nil, the handler
-	// uses a registry of its own.
+	// uses a tracker of its own.
 	TargetStatus *targetstatus.Tracker
 }
 
 // Handler is the HTTP handler for callers.
 type Handler struct {
-	config    Config
-	clock     clock.Clock
-	board     *view.Board
-	upstream  Upstream
-	permits   Permits
-	collector *demand.Collector
-	budget    *RetryBudget
-	backends  *BackendPicker
-	returns   *ReturnDetector
-	limits    *ruleLimits
-	log       Log
+	config        Config
+	clock         clock.Clock
+	board         *view.Board
+	upstream      Upstream
+	permits       Permits
+	collector     *demand.Collector
+	budget        *RetryBudget
+	backends      *BackendPicker
+	callerRetries *CallerRetryDetector
+	limits        *ruleLimits
+	log           Log
 
 	lastID           atomic.Uint64
 	inFlight         atomic.Int64
 	closeConnections atomic.Bool
 	idPrefix         string
-	// waitCtx ends requests that wait in this instance, workCtx ends those that are at a target.
+	// The end of waitCtx refuses requests that wait in this instance, the end of workCtx aborts
+	// those that a target is running.
 	waitCtx, workCtx        context.Context
 	cancelWaits, cancelWork context.CancelFunc
 }
 
-// NewHandler returns a handler. The instance name prefixes the ids that it generates, so that they
+// NewHandler returns a handler. The instance name prefixes the IDs that it generates, so that they
 // are unique across instances.
 func NewHandler(config Config, c clock.Clock, instance string, board *view.Board, up Upstream, permits Permits, collector *demand.Collector, budget *RetryBudget, log Log) *Handler {
 	if config.Quarantine == nil {
@@ -82,7 +83,7 @@
 	}
 	h := &Handler{
 		config: config, clock: c, board: board, upstream: up, permits: permits, collector: collector,
-		budget: budget, backends: NewBackendPicker(), returns: NewReturnDetector(), limits: newRuleLimits(), log: log, idPrefix: instance,
+		budget: budget, backends: NewBackendPicker(), callerRetries: NewCallerRetryDetector(), limits: newRuleLimits(), log: log, idPrefix: instance,
 	}
 	h.waitCtx, h.cancelWaits = context.WithCancel(context.Background())
 	h.workCtx, h.cancelWork = context.WithCancel(context.Background())
@@ -93,12 +94,12 @@
 // instances.
 func (h *Handler) DisableKeepAlives() { h.closeConnections.Store(true) }
 
-// RefuseWaiting refuses, as not executed, all requests that have not been sent to a target.
-// Otherwise requests that wait for a slot or an owner when the process exits get no response at
-// all.
+// RefuseWaiting refuses all requests that have not been sent to a target; they are reported as not
+// executed. Otherwise requests that wait for a slot or an owner when the process exits get no
+// response at all.
 func (h *Handler) RefuseWaiting() { h.cancelWaits() }
 
-// AbortRunning aborts the requests that targets are working on and answers their callers; the
+// AbortRunning aborts the requests that targets are running and responds to their callers. The
 // outcome of these requests is unknown.
 func (h *Handler) AbortRunning() { h.cancelWork() }
 
@@ -114,7 +115,7 @@
 	requestsInFlight   = metrics.GetOrCreateCounter("lycheehall_front_requests_in_flight")
 )
 
-// ServeHTTP serves one request.
+// ServeHTTP handles one request of a caller and logs it.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	requestsInFlight.Inc()
@@ -152,8 +153,9 @@
 	retryAfter time.Duration
 }
 
-// notExecuted returns a 503. It promises that the request has not been executed and will not be.
-func notExecuted(reason string, retryAfter time.Duration) result {
+// notExecutedResult returns a refusal with status 503, which promises that the request has not been
+// executed and will not be.
+func notExecutedResult(reason string, retryAfter time.Duration) result {
 	return result{refusal: refusal{http.StatusServiceUnavailable, reason, retryAfter}}
 }
 
@@ -169,14 +171,14 @@
 	_, _ = io.WriteString(w, r.reason+"\n")
 }
 
-// writeResponse passes a target's complete response on to the caller.
+// writeResponse forwards a target's complete response to the caller.
 func writeResponse(w http.ResponseWriter, resp *upstream.Response) {
 	header := w.Header()
 	wire.DropConnectionHeaders(resp.Header)
 	for name, values := range resp.Header {
 		header[name] = values
 	}
-	if _, given := resp.Header["Content-Type"]; !given {
+	if _, present := resp.Header["Content-Type"]; !present {
 		// A nil value keeps net/http from guessing a content type.
 		header["Content-Type"] = nil
 	}
--- a/transport/front/policy.go
+++ b/transport/front/policy.go
@@ -15,7 +15,7 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`lycheehall_front_refusals_total{status="%d",reason=%q}`, status, reason)).Inc()
 }
 
-// RetryBudget bounds retries: within a window, all instances together retry at most a share of a
+// RetryBudget limits retries: within a window, all instances together retry at most a share of a
 // service's requests plus a fixed number. Each instance keeps to its part of the budget without
 // asking the others. It is safe for concurrent use.
 type RetryBudget struct {
@@ -39,15 +39,15 @@
 const (
 	// budgetBuckets is the number of buckets that a window is divided into.
 	budgetBuckets = 10
-	// usableShare is the share of the budget that is used. The rest allows for counting windows
-	// that do not begin where ours do, and for instances that restart and forget what they have
-	// spent.
+	// usableShare is the share of the budget that is used. The rest is a margin: windows that
+	// others count begin at other times, and a restarted instance has no count of its earlier
+	// retries.
 	usableShare = 0.8
-	// firstTryShare is the share of the usable budget that is open to callers who have time to come
-	// back. When all targets of a service refuse half of their requests, the budget runs short. A
-	// retry spent on a caller that comes back by itself gains half as much as one spent on a
-	// caller's last chance.
-	firstTryShare = 0.5
+	// callerCanRetryShare is the share of the usable budget for callers that can still retry
+	// themselves. The rest is kept for those that cannot. When all targets of a service refuse half
+	// of their requests, the budget does not suffice for both, and a retry for a caller that
+	// retries itself gains half as much as one for a caller that cannot.
+	callerCanRetryShare = 0.5
 )
 
 type budgetWindow struct {
@@ -89,7 +89,7 @@
 	return w
 }
 
-// CountRequest counts a request for a service.
+// CountRequest counts a request, which adds to the service's budget.
 func (b *RetryBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,11 +97,11 @@
 	w.requests[w.bucket%budgetBuckets]++
 }
 
-// AllowRetry takes one retry out of the service's budget and reports whether there was one left.
-// lastChance says that the caller has no time to come back. While the number of instances is
+// AllowRetry deducts one retry from the service's budget and reports whether there was one left.
+// callerCannotRetry says that the caller cannot retry itself. While the number of instances is
 // unknown (0) there is no slack: if many instances started at the same moment, each would use all
 // of it.
-func (b *RetryBudget) AllowRetry(service string, instances int, lastChance bool) bool {
+func (b *RetryBudget) AllowRetry(service string, instances int, callerCannotRetry bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
@@ -115,8 +115,8 @@
 		allowed += b.config.Slack / float64(instances)
 	}
 	allowed *= usableShare
-	if !lastChance {
-		allowed *= firstTryShare
+	if !callerCannotRetry {
+		allowed *= callerCanRetryShare
 	}
 	if retries+1 > allowed {
 		return false
--- a/transport/front/policy_test.go
+++ b/transport/front/policy_test.go
@@ -34,10 +34,10 @@
 		Expect(countRetries(b, 12)).To(BeNumerically("~", usableShare*(200+5), 1))
 	})
 
-	// Guards against spending all retries on callers who would come back anyhow. When all targets
-	// refuse half of their requests, none would be left for callers who have come back, and those
-	// would be refused twice.
-	It("is reserved in part for callers who cannot come back", func() {
+	// Guards against spending all retries on callers that can retry themselves. When all targets
+	// refuse half of their requests, none would be left for callers that have retried already, and
+	// those would be refused twice.
+	It("is reserved in part for callers that cannot retry themselves", func() {
 		b := NewRetryBudget(&manualClock{now: clock.Instant(time.Hour)}, config)
 		for range 1000 {
 			b.CountRequest("s")
@@ -46,8 +46,8 @@
 		for first < 1000 && b.AllowRetry("s", 12, false) {
 			first++
 		}
-		Expect(first).To(BeNumerically("~", firstTryShare*usableShare*205, 1))
-		Expect(countRetries(b, 12)).To(BeNumerically("~", (1-firstTryShare)*usableShare*205, 2))
+		Expect(first).To(BeNumerically("~", callerCanRetryShare*usableShare*205, 1))
+		Expect(countRetries(b, 12)).To(BeNumerically("~", (1-callerCanRetryShare)*usableShare*205, 2))
 	})
 
 	// Guards against exceeding the budget after all instances were killed. They start at the same
@@ -71,10 +71,10 @@
 var _ = Describe("the backend picker", func() {
 	It("follows the weights exactly", func() {
 		r := &rules.Rule{Name: "r", Then: rules.Then{Backends: []rules.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}}
-		w := NewBackendPicker()
+		picker := NewBackendPicker()
 		counts := map[string]int{}
 		for range 200 {
-			counts[w.Pick(r)]++
+			counts[picker.Pick(r)]++
 		}
 		Expect(counts).To(Equal(map[string]int{"a": 180, "b": 20}))
 	})
--- a/transport/front/quarantine.go
+++ b/transport/front/quarantine.go
@@ -17,26 +17,26 @@
 }
 
 // checkQuarantine refuses a request that is quarantined: it would crash each target that it
-// reached, with everything that the target runs for others. It is called when the request arrives
-// and again before each attempt, since the request may be quarantined while it waits.
+// reached, and abort the other requests there. It is called when the request arrives and again
+// before each attempt, since the request may be quarantined while it waits.
 func (c *call) checkQuarantine() (result, bool) {
-	registry := c.h.config.Quarantine
-	if registry.Empty() {
+	tracker := c.h.config.Quarantine
+	if tracker.Empty() {
 		return result{}, true
 	}
-	left, quarantined := registry.Quarantined(c.identify())
+	left, quarantined := tracker.Quarantined(c.identify())
 	if !quarantined {
 		return result{}, true
 	}
-	return notExecuted("quarantined", left), false
+	return notExecutedResult("quarantined", left), false
 }
 
 // suspectFingerprint returns the request's fingerprint if a target has exited while it had this
-// request, or another one with the same fingerprint that has not been answered since. Otherwise it
-// returns 0.
+// request, or another one with the same fingerprint that no target has responded to since.
+// Otherwise it returns 0.
 func (c *call) suspectFingerprint() uint64 {
-	registry := c.h.config.Quarantine
-	if len(c.exitedTargets) == 0 && (registry.Empty() || !registry.Suspected(c.identify())) {
+	tracker := c.h.config.Quarantine
+	if len(c.exitedTargets) == 0 && (tracker.Empty() || !tracker.Suspected(c.identify())) {
 		return 0
 	}
 	return uint64(c.identify().Fingerprint)
@@ -51,19 +51,19 @@
 		"method", c.r.Method, "uri", c.r.RequestURI, "caller", quarantine.CallerAddress(c.r), "body_bytes", len(c.body))
 }
 
-// recordCrashes tells the registry which targets exited while they had this request. If another
-// target has answered the request, something else that ran at the same time crashed the first one,
-// and the exits are not counted against this request.
+// recordCrashes records in the quarantine which targets exited while they had this request. If
+// another target has responded to the request, something else that ran at the same time crashed the
+// first one, and the exits are not counted against this request.
 func (c *call) recordCrashes(res result) {
-	registry := c.h.config.Quarantine
+	tracker := c.h.config.Quarantine
 	if res.response != nil {
-		if !registry.Empty() {
-			registry.RecordResponse(c.identify())
+		if !tracker.Empty() {
+			tracker.RecordResponse(c.identify())
 		}
 		return
 	}
 	for _, target := range c.exitedTargets {
-		if registry.RecordCrash(c.identify(), target) {
+		if tracker.RecordCrash(c.identify(), target) {
 			c.h.log("quarantined", "request", c.id, "fingerprint", c.identify().Fingerprint.String(), "caller", quarantine.CallerAddress(c.r), "target", target)
 		}
 	}
--- a/transport/front/quarantine_test.go
+++ b/transport/front/quarantine_test.go
@@ -31,7 +31,7 @@
 		Expect(w.Code).To(Equal(503))
 		Expect(w.Body.String()).To(Equal("quarantined\n"))
 		Expect(w.Header().Get("Retry-After")).NotTo(BeEmpty())
-		Expect(f.up.requests).To(BeEmpty())
+		Expect(f.upstream.requests).To(BeEmpty())
 	})
 
 	It("does not affect requests with another path, body or caller", func() {
@@ -50,7 +50,7 @@
 		f := newFixture()
 		f.permits.beforeGrant = func() { f.quarantine("/k/a") }
 		Expect(f.do("GET", "/k/a").Code).To(Equal(503))
-		Expect(f.up.requests).To(BeEmpty())
+		Expect(f.upstream.requests).To(BeEmpty())
 		Expect(f.permits.reports).To(HaveLen(1))
 	})
 
@@ -62,40 +62,41 @@
 			f.setOwner("k1", "", false)
 		})
 		Expect(f.do("GET", "/k/a").Code).To(Equal(503))
-		Expect(f.up.requests).To(BeEmpty())
+		Expect(f.upstream.requests).To(BeEmpty())
 	})
 
 	// The request has reached a target and may have been executed, so it must not get a 503.
-	It("is not sent again once it is quarantined, and not refused as not executed", func() {
+	It("gets 502 and no further attempt once it is quarantined", func() {
 		f := newFixture()
-		f.up.script = script{targetExits, respondOK}
+		f.upstream.script = script{targetExits, respondOK}
 		f.permits.beforeGrant = func() {
-			if len(f.up.requests) > 0 {
+			if len(f.upstream.requests) > 0 {
 				f.quarantine("/k/a")
 			}
 		}
 		Expect(f.do("GET", "/k/a").Code).To(Equal(502))
-		Expect(f.up.requests).To(HaveLen(1))
+		Expect(f.upstream.requests).To(HaveLen(1))
 	})
 
 	It("is not sent to a third target by one call, whatever the rule allows", func() {
 		f := newFixture()
-		f.up.script = script{targetExits, targetExits, respondOK}
+		f.upstream.script = script{targetExits, targetExits, respondOK}
 		Expect(f.do("GET", "/k/a").Code).To(Equal(502))
-		Expect(f.up.requests).To(HaveLen(2))
+		Expect(f.upstream.requests).To(HaveLen(2))
 	})
 
 	It("is accepted again after a single crash, which is reported to others", func() {
 		f := newFixture()
-		f.up.script = script{targetExits}
+		f.upstream.script = script{targetExits}
 		Expect(f.do("POST", "/k/a").Code).To(Equal(502))
 		Expect(f.do("POST", "/k/a").Code).To(Equal(200))
 		Expect(f.h.config.Quarantine.Unreported()).To(HaveLen(1))
 	})
 
-	It("is named to the keeper of slots after a single crash until it is answered (guards against many that crash a second target at once)", func() {
+	// Guards against many copies of the request that crash a second target at once.
+	It("is marked as suspect in permit requests after a single crash, until it gets a response", func() {
 		f := newFixture()
-		f.up.script = script{targetExits}
+		f.upstream.script = script{targetExits}
 		f.do("POST", "/k/a")
 		f.do("POST", "/k/b")
 		f.do("POST", "/k/a")
@@ -103,22 +104,22 @@
 		Expect(f.permits.asks[0].Suspect).To(BeZero())
 		Expect(f.permits.asks[1].Suspect).To(BeZero(), "another request")
 		Expect(f.permits.asks[2].Suspect).NotTo(BeZero())
-		Expect(f.permits.asks[3].Suspect).To(BeZero(), "it was answered")
+		Expect(f.permits.asks[3].Suspect).To(BeZero(), "it got a response")
 	})
 
-	It("is named to the keeper of slots with its next attempt", func() {
+	It("is marked as suspect in the permit request of its next attempt", func() {
 		f := newFixture()
-		f.up.script = script{targetExits, respondOK}
+		f.upstream.script = script{targetExits, respondOK}
 		f.do("GET", "/k/a")
 		Expect(f.permits.asks[1].Suspect).NotTo(BeZero())
 	})
 
 	// Guards against quarantining requests whose target exited for another reason: the next target
-	// answers them, so they did not cause the crash.
-	It("is not quarantined if another target has answered it", func() {
+	// responds to them, so they did not cause the crash.
+	It("is not quarantined if another target has responded to it", func() {
 		f := newFixture()
 		for range 3 {
-			f.up.script = script{targetExits, respondOK}
+			f.upstream.script = script{targetExits, respondOK}
 			Expect(f.do("GET", "/k/a").Code).To(Equal(200))
 		}
 		Expect(f.h.config.Quarantine.Empty()).To(BeTrue())
@@ -126,7 +127,7 @@
 
 	It("is logged", func() {
 		f := newFixture()
-		f.up.script = script{targetExits}
+		f.upstream.script = script{targetExits}
 		f.do("POST", "/k/a")
 		Expect(f.logLines[0]).To(And(HavePrefix("target-ended"), ContainSubstring("/k/a"), ContainSubstring("k1")))
 	})
--- a/transport/front/limits.go
+++ b/transport/front/rulelimits.go
@@ -8,7 +8,8 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// ruleLimits enforces the rules' limits on this instance. Its lock is a leaf.
+// ruleLimits enforces the rules' limits on this instance. No other lock is acquired while its lock
+// is held.
 type ruleLimits struct {
 	mu     sync.Mutex
 	set    *rules.Set
@@ -36,7 +37,7 @@
 	l.update(set)
 	limit := l.byRule[r.Name]
 	if limit == nil {
-		// The rule belongs to a rule set that has been replaced.
+		// The rule belongs to rules that have been replaced.
 		return noop, true
 	}
 	if limit.config.Concurrent > 0 && limit.running >= limit.config.Concurrent {
@@ -53,7 +54,7 @@
 	}, true
 }
 
-// update takes over the limits of a new rule set. Limits that have not changed keep their counts.
+// update adopts the limits of new rules. Limits that have not changed keep their counts.
 func (l *ruleLimits) update(set *rules.Set) {
 	if l.set == set {
 		return
@@ -61,17 +62,17 @@
 	l.set = set
 	next := map[string]*ruleLimit{}
 	for r := range set.All() {
-		bound := r.Then.Limit
-		if bound == nil {
+		configured := r.Then.Limit
+		if configured == nil {
 			continue
 		}
-		if old := l.byRule[r.Name]; old != nil && old.config == *bound {
+		if old := l.byRule[r.Name]; old != nil && old.config == *configured {
 			next[r.Name] = old
 			continue
 		}
-		limit := &ruleLimit{config: *bound}
-		if bound.PerSecond > 0 {
-			limit.limiter = rate.NewLimiter(rate.Limit(bound.PerSecond), bound.Burst)
+		limit := &ruleLimit{config: *configured}
+		if configured.PerSecond > 0 {
+			limit.limiter = rate.NewLimiter(rate.Limit(configured.PerSecond), configured.Burst)
 		}
 		next[r.Name] = limit
 	}
--- a/transport/front/targetstatus.go
+++ b/transport/front/targetstatus.go
@@ -41,7 +41,7 @@
 }
 
 // recordTargetLimit records the target's limit: how many requests a second it accepts from all
-// instances together; 0 if it names none.
+// instances together; 0 means no limit.
 func (c *call) recordTargetLimit(t view.Target, perSecond float64) {
 	before := c.h.config.TargetStatus.RecordLimit(t.ID, perSecond)
 	if before != perSecond {
@@ -68,18 +68,18 @@
 }
 
 // isExcluded reports whether the target has been leaving for so long that nothing may be sent to
-// it. The registry, the operators and the target's own responses can say that it is leaving. While
-// the store is unavailable, only the target's responses tell.
+// it. That it is leaving is known from the registry, from an evacuation, or from its own responses;
+// while the store is unavailable, only from its responses.
 func (c *call) isExcluded(t view.Target) bool {
 	return c.h.board.Snapshot().Excluded(t, c.h.clock.Now()) || c.h.config.TargetStatus.DrainTimeOver(t.ID)
 }
 
-// awaitPause waits for the end of a short pause that the key's owner has asked for. If the pause is
+// awaitPause waits for the end of a short pause that the key's owner has reported. If the pause is
 // longer, it refuses the request with the remaining pause as Retry-After.
 func (c *call) awaitPause(ctx context.Context, owner string) (result, bool) {
 	pause := c.h.config.TargetStatus.RemainingPause(owner)
-	if pause > recheckWait {
-		return notExecuted("target-paused", pause), false
+	if pause > maxUpdateWait {
+		return notExecutedResult("target-paused", pause), false
 	}
 	if pause == 0 {
 		return result{}, true
@@ -90,12 +90,12 @@
 	case <-timer.C:
 		return result{}, true
 	case <-ctx.Done():
-		return c.waitEnded(), false
+		return c.resultOfEndedWait(), false
 	}
 }
 
-// targetsToAvoid returns the targets of the service that want no new work, and those that have
-// already had the request.
+// targetsToAvoid returns the targets of the service that have reported that they are leaving or a
+// pause, and those that have already had the request.
 func (c *call) targetsToAvoid() []string {
 	list := slices.Clone(c.triedTargets)
 	for _, id := range c.h.config.TargetStatus.TargetsToAvoid() {
@@ -106,8 +106,8 @@
 	return list
 }
 
-// cannotReassign reports whether the keys of an owner that has left stay with it for now: only the
-// leader reassigns keys, and it writes that to the store first.
+// cannotReassign reports whether the keys of an owner that is leaving stay with it for now: only
+// the leader reassigns keys, and it writes that to the store first.
 func (c *call) cannotReassign() bool {
 	return c.h.clock.Now().Sub(c.h.board.CurrentAsOf()) > noReassignAfter
 }
