--- a/transport/upstream/doc.go
+++ b/transport/upstream/doc.go
@@ -1,16 +1,19 @@
 // Package upstream sends requests to targets and reads their responses.
 //
-// It reports exactly what is known about each attempt. ErrNotSent: no byte of the request was taken
-// by a connection. ErrNotExecuted: the target said so. A Response: it is complete, signed by the
-// target, and belongs to this very request. In all other cases the error is ErrOutcomeUnknown: the
-// request may have been executed.
+// It reports exactly what is known about each attempt, as one of:
+//
+//   - ErrNotSent: no byte of the request was accepted by a connection.
+//   - ErrNotExecuted: the target reported that it did not execute the request.
+//   - A Response: it is complete, signed by the target, and belongs to this request.
+//   - ErrOutcomeUnknown, in all other cases: the request may have been executed.
 //
 // It also reports the target's status from the response headers, and, if an attempt broke off,
 // whether the target's process has exited (ErrTargetExited): its address refuses connections.
 //
 // A connection carries one request at a time. After a response it is reused only if no further
-// bytes have arrived on it. A late response to an earlier request is recognised by its request id
+// bytes have arrived on it. A late response to an earlier request is recognised by its request ID
 // and skipped.
 //
-// Lock order: the Pool's lock is a leaf and is not held during input or output.
+// No other lock is acquired while the Pool's lock is held, and it is not held during input or
+// output.
 package upstream
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -18,9 +18,9 @@
 
 // Errors of an attempt.
 var (
-	// ErrNotSent means that no byte of the request was taken by a connection.
+	// ErrNotSent means that no byte of the request was accepted by a connection.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrNotExecuted means that the target said that it did not execute the request.
+	// ErrNotExecuted means that the target reported that it did not execute the request.
 	ErrNotExecuted = errors.New("upstream: not executed by the target")
 	// ErrOutcomeUnknown means that the request may have been executed and there is no complete
 	// response.
@@ -34,19 +34,19 @@
 type ReportedStatus struct {
 	// FromTarget says that the target itself responded. A field that is zero was then not reported.
 	FromTarget bool
-	// Leaving says that the target is about to leave.
+	// Leaving says that the target is leaving.
 	Leaving bool
 	// Pause is how long this instance should send nothing to the target; 0 if not reported.
 	Pause time.Duration
-	// Slowness is the time that work takes at the target now, relative to its usual time; 0 if not
-	// reported.
+	// Slowness is how many times as long as usual work takes at the target now; 0 if not reported.
+	// It is used as the slowness relative to an average target.
 	Slowness float64
-	// Limit is how many requests a second the target accepts from all instances together; 0 for no
-	// limit.
+	// Limit is how many requests a second the target accepts from all instances together; 0 means
+	// no limit.
 	Limit float64
 }
 
-// NotExecutedError is a response in which the target says that it did not execute the request.
+// NotExecutedError is a response in which the target reports that it did not execute the request.
 type NotExecutedError struct {
 	Status       int
 	TargetStatus ReportedStatus
@@ -63,7 +63,7 @@
 type Request struct {
 	ID     string
 	Method string
-	// URI is the target of the request line, unchanged from the caller.
+	// URI is the request URI, as the caller sent it.
 	URI    string
 	Host   string
 	Header http.Header
@@ -90,20 +90,20 @@
 	// Name is the target's own name; a target refuses requests for another name.
 	Name    string
 	Address string
-	// MaxConnections is the largest number of connections of this instance to the target; 0 for no
-	// limit.
+	// MaxConnections is the largest number of connections of this instance to the target; 0 means
+	// no limit.
 	MaxConnections int
 }
 
 const (
-	// maxResponseBytes bounds response bodies, which are buffered in memory.
+	// maxResponseBytes is the size of the largest response body, which is buffered in memory.
 	maxResponseBytes = 64 << 20
-	// maxLateResponses bounds how many responses are read in search of the one to this request.
+	// maxLateResponses limits how many responses are read in search of the one to this request.
 	maxLateResponses = 8
-	// maxInlineBytes is how much of a request is written before the response is awaited. It fits
-	// the connection's windows, so that the write cannot block on a target that does not read.
-	maxInlineBytes = 2 << 10
-	// maxPause bounds the value of a Retry-After header, which could overflow a duration.
+	// maxSyncWriteBytes is how much of a request is written before the response is awaited. It fits
+	// into the socket buffers, so that the write does not block if the target does not read.
+	maxSyncWriteBytes = 2 << 10
+	// maxPause limits the value of a Retry-After header, which could overflow a duration.
 	maxPause = 24 * time.Hour
 )
 
@@ -151,7 +151,7 @@
 // exchange is one request and its response on a connection.
 type exchange struct {
 	client  *Client
-	conn    *Conn
+	conn    *conn
 	target  Target
 	request *Request
 	// reusable says that the connection can carry another request.
@@ -167,24 +167,24 @@
 	req, text := x.encode(ctx)
 	if sent, err := x.write(text); err != nil {
 		if x.conn.reused {
-			x.client.pool.recordDead(x.target.ID)
+			x.client.pool.recordLostOnIdle(x.target.ID)
 		}
 		if sent == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		return nil, x.outcomeUnknown(err)
+		return nil, x.wrapOutcomeUnknown(err)
 	}
 	resp, err := x.readHead(req)
 	if err != nil {
 		if x.conn.reused && ctx.Err() == nil {
-			x.client.pool.recordDead(x.target.ID)
+			x.client.pool.recordLostOnIdle(x.target.ID)
 		}
-		return nil, x.outcomeUnknown(err)
+		return nil, x.wrapOutcomeUnknown(err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, x.outcomeUnknown(err)
+		return nil, x.wrapOutcomeUnknown(err)
 	}
 	if len(body) > maxResponseBytes {
 		return nil, fmt.Errorf("%w: the response body exceeds the size limit", ErrOutcomeUnknown)
@@ -193,8 +193,8 @@
 	return x.interpret(resp, body)
 }
 
-// outcomeUnknown wraps err in ErrOutcomeUnknown, and records whether the connection was lost.
-func (x *exchange) outcomeUnknown(err error) error {
+// wrapOutcomeUnknown wraps err in ErrOutcomeUnknown, and records whether the connection was lost.
+func (x *exchange) wrapOutcomeUnknown(err error) error {
 	var failed *net.OpError
 	x.connectionLost = errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed)
 	return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
@@ -222,20 +222,20 @@
 	return &http.Request{Method: r.Method}, b.Bytes()
 }
 
-// write sends the request and returns the number of bytes that the connection has taken. The rest
-// of a long request is written while the response is being read: a target may respond before it has
-// read the whole request, and not read on until its response has been taken.
+// write sends the request and returns the number of bytes that the connection has accepted. The
+// rest of a long request is written while the response is being read: a target may respond before
+// it has read the whole request, and not read on until its response has been read.
 func (x *exchange) write(text []byte) (int, error) {
-	if len(text) <= maxInlineBytes {
+	if len(text) <= maxSyncWriteBytes {
 		return x.conn.Write(text)
 	}
-	sent, err := x.conn.Write(text[:maxInlineBytes])
+	sent, err := x.conn.Write(text[:maxSyncWriteBytes])
 	if err != nil {
 		return sent, err
 	}
 	x.writeDone = make(chan error, 1)
 	go func() {
-		_, err := x.conn.Write(text[maxInlineBytes:])
+		_, err := x.conn.Write(text[maxSyncWriteBytes:])
 		x.writeDone <- err
 	}()
 	return sent, nil
@@ -291,28 +291,28 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Close: resp.Close, TargetStatus: x.targetStatus(resp)}, nil
 }
 
-// targetStatus returns the status that the target reported. If another target has got the address,
+// targetStatus returns the status that the target reported. If another target now has the address,
 // the status is not that of this one and is ignored.
 func (x *exchange) targetStatus(resp *http.Response) ReportedStatus {
 	names := x.client.names
 	if who := resp.Header.Get(names.RespondingTarget); who != "" && who != x.target.Name {
 		return ReportedStatus{}
 	}
-	w := ReportedStatus{FromTarget: true, Leaving: resp.Header.Get(names.Leaving) != ""}
-	w.Limit = parseLimit(resp.Header.Get(names.Limit))
-	w.Slowness = parseSlowness(resp.Header.Get(names.Load))
+	status := ReportedStatus{FromTarget: true, Leaving: resp.Header.Get(names.Leaving) != ""}
+	status.Limit = parseLimit(resp.Header.Get(names.Limit))
+	status.Slowness = parseSlowness(resp.Header.Get(names.Load))
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		w.Pause = parseRetryAfter(resp.Header.Get("Retry-After"))
+		status.Pause = parseRetryAfter(resp.Header.Get("Retry-After"))
 	}
-	return w
+	return status
 }
 
 const (
 	// loadFields is the number of fields of a load header: requests running, requests waiting,
-	// slots, and the time that work takes now in percent of the usual. Older targets send only the
-	// first three.
+	// slots, and the time that work takes now in percent of the usual time. Older targets send only
+	// the first three.
 	loadFields = 4
-	// maxSlowness bounds the slowness that is accepted.
+	// maxSlowness replaces larger values of the slowness.
 	maxSlowness = 100
 )
 
@@ -333,7 +333,7 @@
 	// minLimit, in requests a second, replaces lower limits: a target that gets no request at all
 	// could not report another limit.
 	minLimit = 0.05
-	// maxLimit bounds the limit that is accepted, in requests a second.
+	// maxLimit, in requests a second, replaces higher limits.
 	maxLimit = 1e6
 )
 
--- a/transport/upstream/pool.go
+++ b/transport/upstream/pool.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a target, which is a few milliseconds away. If the target's
+	// dialTimeout limits connecting to a target, which is a few milliseconds away. If the target's
 	// accept queue is full, TCP retries only after a second, too late for most requests.
 	dialTimeout = 350 * time.Millisecond
-	// exitCheckTimeout bounds the check whether a target has exited. A caller whose request broke
+	// exitCheckTimeout limits the check whether a target has exited. A caller whose request broke
 	// off waits for it, and a retry may still serve that caller.
 	exitCheckTimeout = 100 * time.Millisecond
 	// exitCheckAttempts is the number of connections that the check tries to make,
 	// exitCheckInterval the time between them.
 	exitCheckAttempts = 3
 	exitCheckInterval = 20 * time.Millisecond
-	// settleTime is how long a new connection is watched before a request is sent on it, in
+	// acceptCheckTime is how long a new connection is watched before a request is sent on it, in
 	// addition to the time it took to connect. A target that has reached its number of connections,
-	// or whose queue is long, accepts a connection and resets it at once. A request already written
-	// on it would have an unknown outcome; one not yet written can go to another target. This
-	// happens after all instances have lost power: targets still count the connections of the
-	// former processes.
-	settleTime = 2 * time.Millisecond
+	// or whose queue is long, may accept a connection and reset it at once. A request already
+	// written on it would have an unknown outcome; one not yet written can go to another target.
+	// This happens after all instances have lost power: targets still count the connections of the
+	// previous processes.
+	acceptCheckTime = 2 * time.Millisecond
 	// defaultIdleTimeout is how long an idle connection is kept if the target reports no timeout.
 	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is subtracted from the timeout that the target reports, so that no request is sent
 	// while the target closes the connection.
 	idleMargin = time.Second
-	// distrustPeriod is how long connections that were idle for more than maxTrustedIdle are not
-	// used for requests that must not be executed twice, after a request was lost on a dead
-	// connection.
-	distrustPeriod = 15 * time.Second
-	maxTrustedIdle = 500 * time.Millisecond
-	// readBufferSize is enough for the head of a response, in bytes.
-	readBufferSize = 4 << 10
+	// After a request was lost on a connection that had been idle, connections that were idle for
+	// more than maxIdleWhileAvoiding are not used for avoidIdlePeriod, except for idempotent
+	// requests.
+	avoidIdlePeriod      = 15 * time.Second
+	maxIdleWhileAvoiding = 500 * time.Millisecond
+	// readBufferBytes is enough for the head of a response, in bytes.
+	readBufferBytes = 4 << 10
 )
 
 var (
@@ -55,8 +55,8 @@
 	connectionsStale = metrics.GetOrCreateCounter("lycheehall_target_connections_stale_total")
 )
 
-// Conn is a connection to a target.
-type Conn struct {
+// conn is a connection to a target.
+type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	// reused says that the connection has carried a request before.
@@ -67,22 +67,24 @@
 
 // Pool caches connections to targets. It is safe for concurrent use.
 type Pool struct {
-	// settleTime replaces the constant settleTime in tests.
-	settleTime time.Duration
+	// acceptCheckTime is the constant of that name, except in tests.
+	acceptCheckTime time.Duration
 
 	mu      sync.Mutex
 	targets map[string]*connections
 }
 
 type connections struct {
-	idle []*Conn
+	idle []*conn
 	open int
-	// lastDeadAt is when a request was last lost on an idle connection that was dead.
-	lastDeadAt time.Time
+	// lastLostOnIdleAt is when a request was last lost on a connection that had been idle.
+	lastLostOnIdleAt time.Time
 }
 
 // NewPool returns an empty pool.
-func NewPool() *Pool { return &Pool{settleTime: settleTime, targets: map[string]*connections{}} }
+func NewPool() *Pool {
+	return &Pool{acceptCheckTime: acceptCheckTime, targets: map[string]*connections{}}
+}
 
 func (p *Pool) target(id string) *connections {
 	c := p.targets[id]
@@ -93,18 +95,18 @@
 	return c
 }
 
-// take returns an idle connection, or nil if there is none. mustNotBeLost says that the request
-// must not be sent on a connection that the target may have dropped without notice.
-func (p *Pool) take(id string, mustNotBeLost bool) *Conn {
+// take returns an idle connection, or nil if there is none. A request that is notIdempotent must
+// not be sent on a connection that the target may have dropped without notice.
+func (p *Pool) take(id string, notIdempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(id)
-	freshOnly := mustNotBeLost && time.Since(t.lastDeadAt) < distrustPeriod
+	avoidIdle := notIdempotent && time.Since(t.lastLostOnIdleAt) < avoidIdlePeriod
 	for len(t.idle) > 0 {
 		c := t.idle[len(t.idle)-1]
 		t.idle = t.idle[:len(t.idle)-1]
 		age := time.Since(c.idleSince)
-		if age < c.idleTimeout && !(freshOnly && age > maxTrustedIdle) && c.reader.Buffered() == 0 && wire.Reusable(c.Conn) {
+		if age < c.idleTimeout && !(avoidIdle && age > maxIdleWhileAvoiding) && c.reader.Buffered() == 0 && wire.Reusable(c.Conn) {
 			return c
 		}
 		connectionsStale.Inc()
@@ -115,8 +117,8 @@
 }
 
 // dial makes a connection. limit is the largest number of connections of this instance to the
-// target; 0 for no limit.
-func (p *Pool) dial(ctx context.Context, id, address string, limit int) (*Conn, error) {
+// target; 0 means no limit.
+func (p *Pool) dial(ctx context.Context, id, address string, limit int) (*conn, error) {
 	p.mu.Lock()
 	t := p.target(id)
 	if limit > 0 && t.open >= limit {
@@ -129,22 +131,22 @@
 	start := time.Now()
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		err = awaitSettled(raw, time.Since(start)+p.settleTime)
+		err = checkAccepted(raw, time.Since(start)+p.acceptCheckTime)
 	}
 	if err != nil {
 		p.countClosed(id)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	connectionsMade.Inc()
-	return &Conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// hasExited reports whether the target's process has exited: nobody listens at its address any
+// hasExited reports whether the target's process has exited: nothing listens at its address any
 // more. If a connection can be made, it is kept for the next request.
 //
 // A connection that breaks during a request may have been reset by the network, or by a target that
-// is full. Only if the process has exited is the next connection refused too. While a process is
-// being taken down, its address may still accept and reset connections, so that the check is
+// accepts no more connections. Only if the process has exited is the next connection refused too.
+// While a process exits, its address may still accept and reset connections, so the check is
 // repeated.
 func (p *Pool) hasExited(ctx context.Context, t Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, exitCheckTimeout)
@@ -168,9 +170,9 @@
 	}
 }
 
-// awaitSettled watches a new connection for a while. It closes the connection and returns an error
+// checkAccepted watches a new connection for a while. It closes the connection and returns an error
 // if the target closes it or sends anything.
-func awaitSettled(conn net.Conn, wait time.Duration) error {
+func checkAccepted(conn net.Conn, wait time.Duration) error {
 	err := conn.SetReadDeadline(time.Now().Add(wait))
 	if err == nil {
 		var b [1]byte
@@ -192,26 +194,26 @@
 	defer p.mu.Unlock()
 	t := p.target(id)
 	t.open--
-	if t.open <= 0 && len(t.idle) == 0 && time.Since(t.lastDeadAt) > distrustPeriod {
+	if t.open <= 0 && len(t.idle) == 0 && time.Since(t.lastLostOnIdleAt) > avoidIdlePeriod {
 		delete(p.targets, id)
 	}
 }
 
 // discard closes a connection that cannot be reused.
-func (p *Pool) discard(id string, c *Conn) {
+func (p *Pool) discard(id string, c *conn) {
 	c.Close()
 	p.countClosed(id)
 }
 
-// recordDead records that a request was lost on an idle connection that was dead.
-func (p *Pool) recordDead(id string) {
+// recordLostOnIdle records that a request was lost on a connection that had been idle.
+func (p *Pool) recordLostOnIdle(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.target(id).lastDeadAt = time.Now()
+	p.target(id).lastLostOnIdleAt = time.Now()
 }
 
 // put returns a connection to the pool. keepAlive is the target's Keep-Alive header.
-func (p *Pool) put(id string, c *Conn, keepAlive string) {
+func (p *Pool) put(id string, c *conn, keepAlive string) {
 	if d, ok := parseKeepAlive(keepAlive); ok {
 		c.idleTimeout = d
 	}
@@ -262,7 +264,7 @@
 		}
 		clear(t.idle[len(kept):])
 		t.idle = kept
-		if t.open <= 0 && now.Sub(t.lastDeadAt) > distrustPeriod {
+		if t.open <= 0 && now.Sub(t.lastLostOnIdleAt) > avoidIdlePeriod {
 			delete(p.targets, id)
 		}
 	}
--- a/transport/upstream/targetexit_test.go
+++ b/transport/upstream/targetexit_test.go
@@ -12,18 +12,19 @@
 var _ = Describe("an attempt that breaks off", func() {
 	// The process exits while it runs the request: its listener closes together with its
 	// connections.
-	It("reports that the target has exited when nobody listens at its address any more", func() {
+	It("reports that the target has exited when nothing listens at its address any more", func() {
 		var t *target
 		t = startTarget(func(conn net.Conn, _ *http.Request, _ int) {
 			t.listener.Close()
-			reset(conn)
+			closeWithReset(conn)
 		})
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 		Expect(err).To(MatchError(ErrTargetExited))
 	})
 
-	It("reports it too if the address resets connections for a moment before it refuses them (guards against an exit that is not noticed on a busy machine)", func() {
+	// Guards against an exit that is not noticed on a busy machine.
+	It("reports an exit if the address first resets and then refuses connections", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		go func() {
@@ -36,20 +37,20 @@
 					_, _ = conn.Read(make([]byte, 1))
 					time.AfterFunc(exitCheckInterval/2, func() { l.Close() })
 				}
-				reset(conn)
+				closeWithReset(conn)
 			}
 		}()
 		_, err = newClient().Do(within(time.Second), Target{ID: "t1", Name: "t1", Address: l.Addr().String()}, get("1"))
 		Expect(err).To(MatchError(ErrTargetExited))
 	})
 
-	DescribeTable("does not report it for a target that is alive", func(respond script) {
+	DescribeTable("does not report it for a target that is running", func(respond script) {
 		t := startTarget(respond)
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(ErrTargetExited))
 	},
-		Entry("and resets the connection", script(func(conn net.Conn, _ *http.Request, _ int) { reset(conn) })),
+		Entry("and resets the connection", script(func(conn net.Conn, _ *http.Request, _ int) { closeWithReset(conn) })),
 		Entry("and closes it in the middle of a response", script(func(conn net.Conn, _ *http.Request, _ int) {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha"))
 			conn.Close()
--- a/transport/upstream/targetstatus_test.go
+++ b/transport/upstream/targetstatus_test.go
@@ -40,7 +40,7 @@
 		Entry("as fast as usual", 200, "Signed: yes\r\nLoad: 2,0,3,100\r\n", ReportedStatus{FromTarget: true, Slowness: 1}),
 		Entry("slow", 200, "Signed: yes\r\nLoad: 3, 4, 3, 300\r\n", ReportedStatus{FromTarget: true, Slowness: 3}),
 		Entry("slow, with a refusal", 503, "Not-Run: 1\r\nLoad: 3,12,3,250\r\n", ReportedStatus{FromTarget: true, Slowness: 2.5}),
-		Entry("a load without slowness", 200, "Signed: yes\r\nLoad: 2,0,3\r\n", ReportedStatus{FromTarget: true}),
+		Entry("a load header without slowness", 200, "Signed: yes\r\nLoad: 2,0,3\r\n", ReportedStatus{FromTarget: true}),
 		Entry("a load that is not numeric", 200, "Signed: yes\r\nLoad: a,b,c,d\r\n", ReportedStatus{FromTarget: true}),
 		Entry("a negative slowness", 200, "Signed: yes\r\nLoad: 1,1,3,-5\r\n", ReportedStatus{FromTarget: true}),
 		Entry("a slowness above the maximum", 200, "Signed: yes\r\nLoad: 1,1,3,1e300\r\n", ReportedStatus{FromTarget: true, Slowness: maxSlowness}),
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -70,16 +70,16 @@
 	}
 }
 
-// reply writes a response with the given request id.
-func reply(conn net.Conn, id, body string) {
+// writeResponse writes a response with the given request ID.
+func writeResponse(conn net.Conn, id, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 func echo(conn net.Conn, r *http.Request, _ int) {
-	reply(conn, r.Header.Get("Id"), "for "+r.Header.Get("Id"))
+	writeResponse(conn, r.Header.Get("Id"), "for "+r.Header.Get("Id"))
 }
 
-func reset(conn net.Conn) {
+func closeWithReset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
@@ -104,9 +104,9 @@
 	It("sends the request with the target's name and the time left", func() {
 		seen := make(chan *http.Request, 1)
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) { seen <- r; echo(conn, r, n) })
-		a, err := newClient().Do(within(2*time.Second), t.Target, get("1"))
+		resp, err := newClient().Do(within(2*time.Second), t.Target, get("1"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(a.Body)).To(Equal("for 1"))
+		Expect(string(resp.Body)).To(Equal("for 1"))
 		r := <-seen
 		Expect(r.Header.Get("Target")).To(Equal("t1"))
 		Expect(r.Header.Get("Timeout")).To(MatchRegexp(`^(1\d{3}|2000)$`))
@@ -123,7 +123,7 @@
 		Expect(t.connections.Load()).To(Equal(int64(1)))
 	})
 
-	It("reports that nothing was sent when nobody listens", func() {
+	It("reports that nothing was sent when nothing listens", func() {
 		t := startTarget(echo)
 		t.Address = "127.0.0.1:1"
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
@@ -143,27 +143,27 @@
 				if err != nil {
 					return
 				}
-				reset(conn)
+				closeWithReset(conn)
 			}
 		}()
 		c := newClient()
-		c.pool.settleTime = 10 * time.Second
+		c.pool.acceptCheckTime = 10 * time.Second
 		start := time.Now()
 		_, err = c.Do(within(20*time.Second), Target{ID: "t1", Name: "t1", Address: l.Addr().String()}, post("1", "b"))
 		Expect(err).To(MatchError(ErrNotSent))
 		Expect(time.Since(start)).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// Guards against refusing a request as not executed when it was executed: a reset does not tell
-	// what the target has run.
+	// Guards against refusing a request as not executed when it was executed: a reset does not show
+	// what the target has executed.
 	It("does not report a request as not sent after a reset", func() {
-		t := startTarget(func(conn net.Conn, _ *http.Request, _ int) { reset(conn) })
+		t := startTarget(func(conn net.Conn, _ *http.Request, _ int) { closeWithReset(conn) })
 		_, err := newClient().Do(within(time.Second), t.Target, post("1", "b"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 		Expect(err).NotTo(MatchError(ErrNotSent))
 	})
 
-	// Guards against passing on half a response as a complete one when the target breaks off in the
+	// Guards against forwarding half a response as a complete one when the target breaks off in the
 	// middle of the body.
 	It("does not take half a response for a complete one", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
@@ -179,16 +179,16 @@
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nSigned: yes\r\n\r\nwhole")
 			conn.Close()
 		})
-		a, err := newClient().Do(within(time.Second), t.Target, get("1"))
+		resp, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(a.Body)).To(Equal("whole"))
+		Expect(string(resp.Body)).To(Equal("whole"))
 	})
 
 	It("does not accept a response without a length that ends with a reset", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nSigned: yes\r\n\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
-			reset(conn)
+			closeWithReset(conn)
 		})
 		_, err := newClient().Do(within(time.Second), t.Target, get("1"))
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
@@ -200,28 +200,28 @@
 	It("skips a late response to an earlier request", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) {
 			if n == 2 {
-				reply(conn, "1", "for 1 again")
+				writeResponse(conn, "1", "for 1 again")
 			}
 			echo(conn, r, n)
 		})
 		c := newClient()
 		_, err := c.Do(within(time.Second), t.Target, get("1"))
 		Expect(err).NotTo(HaveOccurred())
-		a, err := c.Do(within(time.Second), t.Target, get("2"))
+		resp, err := c.Do(within(time.Second), t.Target, get("2"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(a.Body)).To(Equal("for 2"))
+		Expect(string(resp.Body)).To(Equal("for 2"))
 	})
 
 	It("does not reuse a connection on which data followed the response", func() {
 		t := startTarget(func(conn net.Conn, r *http.Request, n int) {
 			echo(conn, r, n)
-			reply(conn, r.Header.Get("Id"), "more")
+			writeResponse(conn, r.Header.Get("Id"), "more")
 		})
 		c := newClient()
 		for i := range 3 {
-			a, err := c.Do(within(time.Second), t.Target, get(fmt.Sprint(i)))
+			resp, err := c.Do(within(time.Second), t.Target, get(fmt.Sprint(i)))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(string(a.Body)).To(Equal(fmt.Sprint("for ", i)))
+			Expect(string(resp.Body)).To(Equal(fmt.Sprint("for ", i)))
 			time.Sleep(5 * time.Millisecond)
 		}
 		Expect(t.connections.Load()).To(Equal(int64(3)))
@@ -255,8 +255,8 @@
 		Expect(err).To(MatchError(ErrOutcomeUnknown))
 	})
 
-	// Guards against targets that go on working for callers who have gone, because the connection
-	// to the target stays open.
+	// Guards against targets that go on executing requests of callers who have gone, because the
+	// connection to the target stays open.
 	It("closes the connection when the caller has gone", func() {
 		closed := make(chan error, 1)
 		t := startTarget(func(conn net.Conn, r *http.Request, _ int) {
@@ -315,14 +315,14 @@
 		Expect(err).To(MatchError(ErrNotSent))
 	})
 
-	// Guards against losing requests where a target drops idle connections without notice: when one
-	// was found dead, the others are probably dead too.
-	It("avoids long-idle connections after one was found dead", func() {
+	// Guards against losing requests where a target drops idle connections without notice: when it
+	// has dropped one, it has probably dropped the others too.
+	It("avoids connections that were idle for long after a request was lost on one", func() {
 		p := NewPool()
-		p.recordDead("t1")
+		p.recordLostOnIdle("t1")
 		client, server := net.Pipe()
 		defer server.Close()
-		p.target("t1").idle = []*Conn{{Conn: client, reader: bufio.NewReader(client), idleSince: time.Now().Add(-time.Second), idleTimeout: time.Minute}}
+		p.target("t1").idle = []*conn{{Conn: client, reader: bufio.NewReader(client), idleSince: time.Now().Add(-time.Second), idleTimeout: time.Minute}}
 		p.target("t1").open = 1
 		Expect(p.take("t1", true)).To(BeNil())
 	})
