--- a/transport/orders/orders.go
+++ b/transport/orders/orders.go
@@ -1,12 +1,12 @@
 // Package orders sends grants, renewals and releases of keys to targets.
 //
 // An order is sent to an address, but is meant for one particular start of a process. A target that
-// has been restarted at the same address, or another target that has got the address, must not be
-// given the keys of the former one under an old fence. Each order therefore names its target, and
+// has been restarted at the same address, or another target that now has the address, must not be
+// given the keys of the previous one under an old fence. Each order therefore names its target, and
 // any other target refuses it. The name does not protect against a restart under the same name. A
 // renewal is therefore only sent over a connection that was open before the keys were last granted
-// or renewed: such a connection ended together with the former process. If there is none left, the
-// renewal is not sent.
+// or renewed: such a connection ended together with the previous process. If there is none left,
+// the renewal is not sent.
 package orders
 
 import (
@@ -29,15 +29,16 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a target.
+	// dialTimeout limits connecting to a target.
 	dialTimeout = 400 * time.Millisecond
-	// grantTimeout bounds grants and renewals. A target responds within one network delay, or two
-	// plus the time to resend a lost packet; one that takes longer counts as having failed once.
+	// grantTimeout limits grants and renewals. A target responds within one network delay, or two
+	// plus the time to resend a lost packet; an order that takes longer counts as failed.
 	grantTimeout = 450 * time.Millisecond
-	// grantSlotTimeout bounds the wait for earlier grants to the same target: one that hangs, and
-	// making a new connection.
-	grantSlotTimeout = grantTimeout + dialTimeout
-	// releaseTimeout bounds releases, which are answered once the running work has ended.
+	// grantTokenTimeout limits the wait for earlier grants to the same target: one that gets no
+	// response, and making a new connection.
+	grantTokenTimeout = grantTimeout + dialTimeout
+	// releaseTimeout limits releases, to which targets respond once the running requests have
+	// ended.
 	releaseTimeout = 6 * time.Second
 	// maxIdleConnections is the number of idle connections kept for each target: one for each
 	// concurrent grant, and one for a release.
@@ -45,8 +46,8 @@
 	// maxConcurrentGrants is the number of grants and renewals sent to a target at the same time;
 	// the others wait. A target may own dozens of ranges, each renewed every second. If each
 	// renewal used its own connection, renewals would make most of the new connections to targets,
-	// and each holds a slot there for a moment. With a lower number, a target that leaves half of
-	// its orders unanswered would not get all of them within a hold.
+	// and use up those that a target accepts. With a lower number, a target that responds to only
+	// half of its orders would not get all of them within a hold.
 	maxConcurrentGrants = 4
 	// idleTimeout is how long an unused connection is kept; targets close theirs after 10 s.
 	idleTimeout = 5 * time.Second
@@ -66,13 +67,13 @@
 	names   wire.Names
 	clock   clock.Clock
 	// isLeader reports whether this instance still leads. It is called right before an order is
-	// sent, since the process may have been suspended after the decision.
+	// sent, since the process may have been paused after the decision.
 	isLeader func() bool
 
 	mu      sync.Mutex
 	targets map[string]*connections
-	// grantSlots holds, for each target, a token for each grant that is being sent to it.
-	grantSlots map[string]chan struct{}
+	// grantTokens holds, for each target, a token for each grant that is being sent to it.
+	grantTokens map[string]chan struct{}
 }
 
 // connections holds the connections to one target.
@@ -94,21 +95,21 @@
 
 // NewClient returns a client without connections. isLeader reports whether this instance leads.
 func NewClient(encoder Encoder, names wire.Names, c clock.Clock, isLeader func() bool) *Client {
-	return &Client{encoder: encoder, names: names, clock: c, isLeader: isLeader, targets: map[string]*connections{}, grantSlots: map[string]chan struct{}{}}
+	return &Client{encoder: encoder, names: names, clock: c, isLeader: isLeader, targets: map[string]*connections{}, grantTokens: map[string]chan struct{}{}}
 }
 
 // Do sends an order. It returns what is known about its effect, the handover reference of the
 // target's response, and when the order was sent; clock.Never if it was not sent.
 func (c *Client) Do(ctx context.Context, o assign.Order) (outcome assign.Outcome, handover string, sentAt clock.Instant) {
 	if o.Kind != assign.Release {
-		release, err := c.acquireGrantSlot(ctx, o.Target)
+		release, err := c.acquireGrantToken(ctx, o.Target)
 		if err != nil {
 			return assign.OutcomeNotSent, "", clock.Never
 		}
 		defer release()
 	}
 	cn, err := c.connect(ctx, o)
-	if errors.Is(err, errNoOldConnection) {
+	if errors.Is(err, errNoConnectionSince) {
 		return assign.OutcomeUnverified, "", clock.Never
 	}
 	if err != nil || !c.isLeader() {
@@ -120,7 +121,7 @@
 	sentAt = c.clock.Now()
 	resp, err := c.exchange(cn, o)
 	if err != nil {
-		abort(cn)
+		closeWithReset(cn)
 		c.removeClosed(o.Target, cn)
 		return assign.OutcomeUnknown, "", sentAt
 	}
@@ -141,34 +142,35 @@
 	return assign.OutcomeUnknown, "", sentAt
 }
 
-// errNoGrantSlot means that no slot for a grant to the target became free in time.
-var errNoGrantSlot = errors.New("orders: no free slot for a grant to the target")
+// errNoGrantToken means that too many earlier grants were being sent to the target until the wait
+// ended.
+var errNoGrantToken = errors.New("orders: too many grants are being sent to the target")
 
-// acquireGrantSlot waits until a grant may be sent to the target. The returned function must be
+// acquireGrantToken waits until a grant may be sent to the target. The returned function must be
 // called when the grant is over.
-func (c *Client) acquireGrantSlot(ctx context.Context, target string) (release func(), err error) {
+func (c *Client) acquireGrantToken(ctx context.Context, target string) (release func(), err error) {
 	c.mu.Lock()
-	slots := c.grantSlots[target]
-	if slots == nil {
-		slots = make(chan struct{}, maxConcurrentGrants)
-		c.grantSlots[target] = slots
+	tokens := c.grantTokens[target]
+	if tokens == nil {
+		tokens = make(chan struct{}, maxConcurrentGrants)
+		c.grantTokens[target] = tokens
 	}
 	c.mu.Unlock()
-	timer := time.NewTimer(grantSlotTimeout)
+	timer := time.NewTimer(grantTokenTimeout)
 	defer timer.Stop()
 	select {
-	case slots <- struct{}{}:
-		return func() { <-slots }, nil
+	case tokens <- struct{}{}:
+		return func() { <-tokens }, nil
 	case <-timer.C:
-		return nil, errNoGrantSlot
+		return nil, errNoGrantToken
 	case <-ctx.Done():
 		return nil, fmt.Errorf("orders: wait to send a grant: %w", ctx.Err())
 	}
 }
 
-// abort closes a connection with a reset. Parts of an order that are held back by a network
-// partition are then dropped and do not arrive when the partition heals.
-func abort(cn *conn) {
+// closeWithReset closes a connection with a reset. Parts of an order that are delayed by a network
+// partition are then dropped and do not arrive when the partition ends.
+func closeWithReset(cn *conn) {
 	if tcp, ok := cn.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -215,21 +217,21 @@
 		return nil, fmt.Errorf("orders: read response: %w", err)
 	}
 	defer resp.Body.Close()
-	const maxBody = 64 << 10
-	if _, err := io.CopyN(io.Discard, resp.Body, maxBody); !errors.Is(err, io.EOF) {
+	const maxResponseBytes = 64 << 10
+	if _, err := io.CopyN(io.Discard, resp.Body, maxResponseBytes); !errors.Is(err, io.EOF) {
 		return nil, fmt.Errorf("orders: response body is too long or incomplete: %w", err)
 	}
 	return resp, nil
 }
 
-// errNoOldConnection means that no connection to the target has been open for as long as the order
+// errNoConnectionSince means that no connection to the target has been open for as long as the order
 // requires.
-var errNoOldConnection = errors.New("orders: no connection to the target is as old as the order requires")
+var errNoConnectionSince = errors.New("orders: no connection to the target has been open since the last grant")
 
-// maxConnectionWait bounds the wait for a connection that is old enough but in use. The renewals of
-// a target share few connections and come at the same time when all holds are extended. If they
-// failed without waiting, keys would be unserved while the store is unavailable. The wait must be
-// bounded, since a release may use a connection for seconds.
+// maxConnectionWait limits the wait for a connection that is old enough but in use. The renewals of
+// a target share few connections and are sent at the same time when all holds are extended. Without
+// the wait some would fail, and their keys would not be served while the store is unavailable. The
+// wait must be limited, since a release may use a connection for seconds.
 const maxConnectionWait = 400 * time.Millisecond
 
 // connect returns a connection to the order's target that is old enough for the order, and marks it
@@ -246,12 +248,12 @@
 			return c.dial(ctx, o)
 		}
 		if changed == nil {
-			return nil, errNoOldConnection
+			return nil, errNoConnectionSince
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return nil, errNoOldConnection
+			return nil, errNoConnectionSince
 		case <-ctx.Done():
 			return nil, fmt.Errorf("orders: wait for a connection: %w", ctx.Err())
 		}
@@ -283,7 +285,7 @@
 }
 
 // take returns an idle connection that seems to be open and is old enough for the order. It takes
-// the youngest such connection, to leave older ones for orders that require them. If there is none,
+// the one that was opened last, to leave older ones for orders that require them. If there is none,
 // but a busy one is old enough, it returns a channel that is closed when the busy connections
 // change.
 func (c *Client) take(o assign.Order) (*conn, <-chan struct{}) {
@@ -301,7 +303,7 @@
 	t.idle = usable
 	best := -1
 	for i, cn := range t.idle {
-		if cn.isOldEnoughFor(o) && (best < 0 || cn.openedAt > t.idle[best].openedAt) {
+		if cn.openSince(o) && (best < 0 || cn.openedAt > t.idle[best].openedAt) {
 			best = i
 		}
 	}
@@ -311,14 +313,14 @@
 		t.busy = append(t.busy, cn)
 		return cn, nil
 	}
-	if slices.ContainsFunc(t.busy, func(cn *conn) bool { return cn.isOldEnoughFor(o) }) {
+	if slices.ContainsFunc(t.busy, func(cn *conn) bool { return cn.openSince(o) }) {
 		return nil, t.changed
 	}
 	return nil, nil
 }
 
-// isOldEnoughFor reports whether the connection has been open for as long as the order requires.
-func (cn *conn) isOldEnoughFor(o assign.Order) bool {
+// openSince reports whether the connection has been open since the time that the order requires.
+func (cn *conn) openSince(o assign.Order) bool {
 	return o.ConnectionOpenSince == clock.Never || cn.openedAt <= o.ConnectionOpenSince
 }
 
@@ -366,10 +368,10 @@
 			delete(c.targets, target)
 		}
 	}
-	for target := range c.grantSlots {
+	for target := range c.grantTokens {
 		if !listed(target) {
 			// Grants that still wait keep a reference to the deleted channel.
-			delete(c.grantSlots, target)
+			delete(c.grantTokens, target)
 		}
 	}
 }
--- a/transport/orders/orders_test.go
+++ b/transport/orders/orders_test.go
@@ -39,10 +39,10 @@
 func (testEncoder) Handover(h http.Header) string { return h.Get("Handover") }
 
 // countingTarget starts a target that answers orders, and counts the connections made to it.
-func countingTarget(answer http.HandlerFunc) (address string, connections *atomic.Int64) {
+func countingTarget(respond http.HandlerFunc) (address string, connections *atomic.Int64) {
 	GinkgoHelper()
 	connections = &atomic.Int64{}
-	s := httptest.NewUnstartedServer(answer)
+	s := httptest.NewUnstartedServer(respond)
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			connections.Add(1)
@@ -79,8 +79,8 @@
 		Expect(connections.Load()).To(BeNumerically("<=", maxConcurrentGrants))
 	})
 
-	// Guards against two targets that own the same keys. A process may be suspended between
-	// deciding on an order and sending it, while another instance becomes the leader.
+	// Guards against two targets that own the same keys. A process may be paused between deciding
+	// on an order and sending it, while another instance becomes the leader.
 	It("are not sent by an instance that is no longer the leader", func() {
 		requests := atomic.Int64{}
 		address, _ := countingTarget(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
@@ -90,15 +90,14 @@
 		Expect(requests.Load()).To(BeZero())
 	})
 
-	// Guards against a target that takes over keys under a fence that its former process had. A
-	// target crashes and restarts at the same address under the same name; without this check the
-	// next renewal would go over a new connection, and the name does not tell the two processes
-	// apart.
-	It("do not renew over a connection that is younger than the grant", func() {
+	// Guards against a target that gets keys under a fence that its previous process had. A target
+	// crashes and restarts at the same address under the same name; without this check the next
+	// renewal would go over a new connection, and the name does not tell the two processes apart.
+	It("do not renew over a connection that was opened after the grant", func() {
 		var s *httptest.Server
 		requests := atomic.Int64{}
-		answer := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
-		s = httptest.NewServer(answer)
+		respond := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) })
+		s = httptest.NewServer(respond)
 		DeferCleanup(func() { s.Close() })
 		address := s.Listener.Addr().String()
 		c := NewClient(testEncoder{}, names, clock.System{}, always)
@@ -118,7 +117,7 @@
 		Expect(do(clock.System{}.Now())).To(Equal(assign.OutcomeDone))
 	})
 
-	// Guards against keys that are unserved while the store is unavailable. When all holds are
+	// Guards against keys that are not served while the store is unavailable. When all holds are
 	// extended at the same time, a target may have several ranges and only one connection that is
 	// old enough: the first renewal takes it, and the others have to wait for it.
 	It("wait for a connection that is old enough but busy", func() {
@@ -149,7 +148,7 @@
 		Expect(name).To(Equal("t@1"))
 	})
 
-	It("return what the target answered", func() {
+	It("return the outcome that the target reported", func() {
 		status := http.StatusOK
 		address, _ := countingTarget(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Handover", "h")
