--- a/transport/peers/auth.go
+++ b/transport/peers/auth.go
@@ -49,12 +49,12 @@
 	return conn, handshake(conn, s.Secret, serverRole, clientRole)
 }
 
-// ErrAuth reports that the remote end does not know the shared secret.
+// ErrAuth means that the remote end does not know the shared secret.
 var ErrAuth = errors.New("peers: the remote end does not know the shared secret")
 
 const (
-	// challengeLen is the length of a challenge in bytes.
-	challengeLen = 32
+	// challengeBytes is the length of a challenge in bytes.
+	challengeBytes = 32
 	// handshakeTimeout limits how long a process that is not authenticated can keep a connection open.
 	handshakeTimeout = 2 * time.Second
 
@@ -78,12 +78,12 @@
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return fmt.Errorf("peers: handshake: %w", err)
 	}
-	localChallenge := make([]byte, challengeLen)
+	localChallenge := make([]byte, challengeBytes)
 	rand.Read(localChallenge)
 	if _, err := conn.Write(localChallenge); err != nil {
 		return fmt.Errorf("peers: handshake: send challenge: %w", err)
 	}
-	remoteChallenge := make([]byte, challengeLen)
+	remoteChallenge := make([]byte, challengeBytes)
 	if _, err := io.ReadFull(conn, remoteChallenge); err != nil {
 		return fmt.Errorf("peers: handshake: receive challenge: %w", err)
 	}
--- a/transport/peers/client.go
+++ b/transport/peers/client.go
@@ -17,8 +17,8 @@
 // ServiceName is the net/rpc service name that instances register.
 const ServiceName = "Peer"
 
-// ErrNoReply reports that the peer did not answer. It may or may not have received the call.
-var ErrNoReply = errors.New("peers: no answer")
+// ErrNoReply means that the peer did not reply. It may or may not have received the call.
+var ErrNoReply = errors.New("peers: no reply")
 
 const (
 	// dialTimeout limits how long connecting may take. The data centres of a region are only a few
@@ -28,9 +28,9 @@
 	// unreachable.
 	keepAliveInterval = 300 * time.Millisecond
 	keepAliveCount    = 3
-	// unackedTimeout is the time after which a connection fails if the peer does not acknowledge sent
+	// ackTimeout is the time after which a connection fails if the peer does not acknowledge sent
 	// data.
-	unackedTimeout = 900 * time.Millisecond
+	ackTimeout = 900 * time.Millisecond
 	// redialDelay is the pause after a failed connection attempt, during which calls fail immediately.
 	// Otherwise every call to an unreachable peer waits for another connection attempt.
 	redialDelay = 200 * time.Millisecond
@@ -102,7 +102,7 @@
 	}
 	conn, err := c.dial(address)
 	if err == nil {
-		limitUnacked(conn)
+		setAckTimeout(conn)
 		conn, err = secure(conn, c.security.secureClient)
 	}
 	if err != nil {
@@ -126,10 +126,10 @@
 	return secured, nil
 }
 
-// limitUnacked makes a connection fail when its peer does not acknowledge sent data for
-// unackedTimeout. Without it a write to a machine that has lost power hangs for minutes. If the
+// setAckTimeout makes a connection fail when its peer does not acknowledge sent data for
+// ackTimeout. Without it a write to a machine that has lost power blocks for minutes. If the
 // option cannot be set, the time limit of each call still applies.
-func limitUnacked(conn net.Conn) {
+func setAckTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -139,7 +139,7 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 }
 
@@ -223,14 +223,14 @@
 	return &reply, err
 }
 
-// Acquire requests a permit from its keeper.
+// Acquire requests a permit from the keeper of a pool, the instance that grants its permits.
 func (c *Client) Acquire(ctx context.Context, address string, args *peerapi.AcquireArgs) (*peerapi.AcquireReply, error) {
 	var reply peerapi.AcquireReply
 	err := c.call(ctx, address, "Acquire", args, &reply)
 	return &reply, err
 }
 
-// Release returns a permit. It waits neither for an answer nor for a connection, and does nothing if
+// Release returns a permit. It waits neither for a reply nor for a connection, and does nothing if
 // there is no connection: the keeper reclaims permits that are not returned.
 func (c *Client) Release(address string, args *peerapi.ReleaseArgs) {
 	client := c.peer(address).current()
--- a/transport/peers/peers_test.go
+++ b/transport/peers/peers_test.go
@@ -22,27 +22,29 @@
 	RunSpecs(t, "Peers")
 }
 
-// echo is a backend without an instance. Acquire blocks until the server is closed.
-type echo struct{}
+// fakeBackend is a backend without an instance. Acquire blocks until the server is closed.
+type fakeBackend struct{}
 
-func (echo) Sync(_ context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
+func (fakeBackend) Sync(_ context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
 	return &peerapi.SyncReply{Leading: true, RulesVersion: args.RulesVersion}
 }
 
-func (echo) Acquire(ctx context.Context, _ *peerapi.AcquireArgs) *peerapi.AcquireReply {
+func (fakeBackend) Acquire(ctx context.Context, _ *peerapi.AcquireArgs) *peerapi.AcquireReply {
 	<-ctx.Done()
 	return &peerapi.AcquireReply{}
 }
 
-func (echo) Release(*peerapi.ReleaseArgs) {}
+func (fakeBackend) Release(*peerapi.ReleaseArgs) {}
 
-func (echo) Describe(*peerapi.DescribeArgs) *peerapi.Description { return &peerapi.Description{} }
+func (fakeBackend) Describe(*peerapi.DescribeArgs) *peerapi.Description {
+	return &peerapi.Description{}
+}
 
 func startServer(security Security) string {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s, err := NewServer(l, security, echo{})
+	s, err := NewServer(l, security, fakeBackend{})
 	Expect(err).NotTo(HaveOccurred())
 	go s.Serve()
 	DeferCleanup(s.Close)
@@ -85,9 +87,9 @@
 		Expect(ping(Security{Secret: "secret"}, address)).To(Succeed())
 	})
 
-	// Guards against calls that wait for ever because the peer has accepted the connection but never
-	// answers. TCP does not report that the path to an idle peer is interrupted.
-	It("ends with its context if the peer does not answer", func() {
+	// Guards against calls that wait for ever because the peer has accepted the connection but
+	// never replies. TCP does not report that the path to an idle peer is interrupted.
+	It("ends with its context if the peer does not reply", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -98,45 +100,45 @@
 		Expect(c.Ping(ctx, l.Addr().String())).To(MatchError(ErrNoReply))
 	})
 
-	// Guards against answers that reach callers 0.3 s late, after their deadline. The keeper of a
-	// permit has lost power, and one request waits for a connection to it. Another request, which a
-	// target has answered, returns its permit and waits for the same connection.
-	It("that returns a permit does not wait for a connection that is being established", func() {
+	// Guards against a response that reaches its caller 0.3 s late, after the deadline. The keeper
+	// of a pool has lost power, and one request waits for a connection to it. Another request, to
+	// which a target has responded, returns its permit and must not wait for the same connection.
+	It("does not wait for a connection that is being established when it returns a permit", func() {
 		c := NewClient(Security{})
-		making, made := make(chan struct{}), make(chan struct{})
+		dialStarted, endDial := make(chan struct{}), make(chan struct{})
 		c.dial = func(string) (net.Conn, error) {
-			close(making)
-			<-made
-			return nil, errors.New("no answer")
+			close(dialStarted)
+			<-endDial
+			return nil, errors.New("unreachable")
 		}
-		defer close(made)
+		defer close(endDial)
 		go func() { _ = c.Ping(context.Background(), "gone") }()
-		<-making
-		begun := time.Now()
+		<-dialStarted
+		start := time.Now()
 		c.Release("gone", &peerapi.ReleaseArgs{})
-		Expect(time.Since(begun)).To(BeNumerically("<", 50*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", 50*time.Millisecond))
 	})
 
-	// Guards against a follower that is without a leader for seconds after the leader has lost power,
-	// because a call did not end at its deadline while its connection was being established.
+	// Guards against a call that exceeds its deadline while its connection is being established. A
+	// follower would be without a leader for seconds after the leader has lost power.
 	It("ends with its context while a connection is being established", func() {
 		c := NewClient(Security{})
-		made := make(chan struct{})
+		endDial := make(chan struct{})
 		c.dial = func(string) (net.Conn, error) {
-			<-made
-			return nil, errors.New("no answer")
+			<-endDial
+			return nil, errors.New("unreachable")
 		}
-		defer close(made)
+		defer close(endDial)
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		Expect(c.Ping(ctx, "gone")).To(MatchError(ErrNoReply))
-		Expect(time.Since(begun)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", 100*time.Millisecond))
 	})
 
-	// Guards against calls to a frozen instance that block even though they wait for no answer. The
-	// frozen instance does not read, the connection's buffers are full, and sending blocks.
-	It("that returns a permit does not wait for a peer that does not read", func() {
+	// Guards against calls to an unresponsive instance that block even though they wait for no
+	// reply. The instance does not read, the connection's buffers are full, and sending blocks.
+	It("does not wait for a peer that does not read when it returns a permit", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
@@ -147,14 +149,14 @@
 		go func() { _ = c.Ping(ctx, l.Addr().String()) }()
 		Eventually(func() bool { return c.peer(l.Addr().String()).current() != nil }, "1s", "1ms").Should(BeTrue())
 		large := &peerapi.ReleaseArgs{Report: permit.Report{ID: strings.Repeat("x", 64<<20)}}
-		begun := time.Now()
+		start := time.Now()
 		c.Release(l.Addr().String(), large)
-		Expect(time.Since(begun)).To(BeNumerically("<", 50*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", 50*time.Millisecond))
 	})
 
-	// Guards against a frozen peer that makes every later call to it hang as well. Calls share a
-	// connection, and nothing on the connection shows that the peer is frozen.
-	It("that exceeds its deadline drops the connection", func() {
+	// Guards against an unresponsive peer to which every later call blocks as well. Calls share a
+	// connection, and nothing on the connection shows that the peer is unresponsive.
+	It("drops the connection when it exceeds its deadline", func() {
 		address := startServer(Security{})
 		c := NewClient(Security{})
 		defer c.Close()
--- a/transport/peers/server.go
+++ b/transport/peers/server.go
@@ -19,13 +19,13 @@
 	Describe(args *peerapi.DescribeArgs) *peerapi.Description
 }
 
-// service is the receiver that is registered with net/rpc.
+// service is the receiver that is registered with net/rpc. Its methods are the calls that instances
+// make to one another.
 type service struct {
 	ctx     context.Context
 	backend Backend
 }
 
-// Sync replies to a report.
 func (s *service) Sync(args *peerapi.SyncArgs, reply *peerapi.SyncReply) error {
 	*reply = *s.backend.Sync(s.ctx, args)
 	return nil
@@ -37,19 +37,17 @@
 	return nil
 }
 
-// Release takes back a permit.
 func (s *service) Release(args *peerapi.ReleaseArgs, _ *peerapi.Empty) error {
 	s.backend.Release(args)
 	return nil
 }
 
-// Describe returns a description of the instance's state.
 func (s *service) Describe(args *peerapi.DescribeArgs, reply *peerapi.Description) error {
 	*reply = *s.backend.Describe(args)
 	return nil
 }
 
-// Ping returns an empty answer, which shows that the process is running.
+// Ping returns an empty reply, which shows that the process is running.
 func (s *service) Ping(_ *peerapi.Empty, _ *peerapi.Empty) error { return nil }
 
 // Server answers the calls of other instances on a listener.
@@ -89,7 +87,7 @@
 			conn.Close()
 			return nil
 		}
-		limitUnacked(conn)
+		setAckTimeout(conn)
 		go s.serve(conn)
 	}
 }
--- a/transport/peers/tls.go
+++ b/transport/peers/tls.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// ErrCertificate reports that the certificate settings cannot be used.
+// ErrCertificate means that the certificate settings cannot be used.
 var ErrCertificate = errors.New("peers: invalid certificate settings")
 
 // LoadTLS reads the certificates with which instances authenticate one another. Each instance presents
