--- a/protocol/peerapi/peerapi.go
+++ b/protocol/peerapi/peerapi.go
@@ -19,20 +19,22 @@
 type KeyLoad struct {
 	Service string
 	Key     uint16
-	// Seconds is the time, in seconds, that the requests for the key are expected to take at a target
-	// of average speed.
+	// Seconds is the time, in seconds, that the requests for the key are expected to take at an
+	// average target.
 	Seconds float32
 }
 
-// TargetStats summarises the answers of one target since the previous report.
+// TargetStats summarises the responses of one target since the previous report.
 type TargetStats struct {
 	Target string
-	// Count is the number of answers.
+	// Count is the number of responses.
 	Count int
-	// Slowness is the sum, over these answers, of the time taken relative to the mean of the rule.
+	// Slowness is the sum, over these responses, of the slowness of the target: how many times as
+	// long as at an average target work takes. It is reported by the target, or otherwise the time
+	// that the request took relative to the mean of its rule.
 	Slowness float64
-	// Limit is the number of requests a second that the target takes from all instances together,
-	// according to its last answer. 0: the target states no limit.
+	// Limit is the number of requests a second that the target accepts from all instances together,
+	// according to its last response; 0 means no limit.
 	Limit float64
 }
 
@@ -41,7 +43,8 @@
 	view.Instance
 	// Age is the time since its last report.
 	Age time.Duration
-	// Leaving says that the instance is shutting down and takes no duties.
+	// Leaving says that the instance is shutting down and takes no duties: work that an instance
+	// does for others, such as keeping pools of permits and relaying reports.
 	Leaving bool
 }
 
@@ -67,25 +70,25 @@
 	Relayed bool
 	// Members are the instances that have reported through the sender.
 	Members []RelayedInstance
-	// Lost is the lease holder that, as the sender has found, no longer leads.
+	// Lost is the lease holder that the sender has found not to lead any more.
 	Lost string
 	// Starting says that the sender has no data yet, so that even stale data is useful to it. The
 	// reply contains all targets, maps and instances.
 	Starting bool
-	// AwaitCurrent says that the store does not answer the sender, which therefore has no other
-	// source. The reply may then also be delayed until the receiver has current data.
+	// AwaitCurrent says that the store does not answer the sender, so that the sender has no other
+	// source than the receiver. The receiver may then delay the reply until it has current data.
 	AwaitCurrent bool
-	// StoreAnswers says that the store has just answered the sender, after the sender was informed
-	// that the store does not answer the leader.
+	// StoreAnswers says that the store has just answered the sender, after a reply said that it
+	// does not answer the leader.
 	StoreAnswers bool
 	// Leaving says that the sender is shutting down and takes no duties.
 	Leaving bool
-	// LeavingTargets are the targets that have announced in an answer that they are leaving, to the
+	// LeavingTargets are the targets that have reported in a response that they are leaving, to the
 	// sender or to an instance that reports through it.
 	LeavingTargets []string
-	// Quarantine holds the observations, unknown to the receiver as far as the sender can tell, of
-	// requests during which targets ended. QuarantineVersion is the version of the leader's table
-	// that the sender has.
+	// Quarantine holds the observations of requests during which targets exited, as far as the
+	// sender has not yet reported them to the receiver. QuarantineVersion is the version of the
+	// leader's table that the sender has.
 	Quarantine        quarantine.Table
 	QuarantineVersion quarantine.Version
 	// Lamport is the sender's Lamport time.
@@ -104,9 +107,9 @@
 	Lease uint64
 	// StoreSilent says that the store does not answer the leader.
 	StoreSilent bool
-	// Vacated is the latest term that its holder, as far as the replying instance knows, has announced
-	// to have given up: the holder takes no further action in that term, and everything granted until
-	// then expires within VacatedHeld.
+	// Vacated is the latest term that the replying instance knows to be given up by its holder: the
+	// holder takes no further action in that term, and all grants of that term and of earlier ones
+	// expire within VacatedHeld.
 	Vacated     uint64
 	VacatedHeld time.Duration
 	// Held is how long the reply was delayed.
@@ -155,7 +158,7 @@
 	InstancesGone    []string
 	InstancesWhole   bool
 	// QuarantineVersion is set if it is newer than the one in the report. Quarantine then holds all
-	// known observations of requests during which targets ended.
+	// known observations of requests during which targets exited.
 	Quarantine        quarantine.Table
 	QuarantineVersion quarantine.Version
 	// Lamport is the replying instance's Lamport time.
@@ -166,7 +169,7 @@
 // version in the report.
 type MapUpdate struct {
 	Version uint64
-	// From is the version that Changed applies to. 0: Changed is the whole map.
+	// From is the version that Changed applies to; 0 means that Changed is the whole map.
 	From    uint64
 	Changed []keyrange.Range
 }
@@ -202,8 +205,8 @@
 type DescribeArgs struct {
 	// Events asks for the recorded state changes.
 	Events bool
-	// Request, if set, is a request ID: the reply then holds the events that name this request, and
-	// the state changes shortly before each of them.
+	// Request, if set, is a request ID: the reply then contains the events that have this request
+	// ID, and the state changes shortly before each of them.
 	Request string
 }
 
@@ -213,7 +216,7 @@
 	RulesVersion uint64
 	// Maps holds the version of the map of each service.
 	Maps map[string]uint64
-	// Known is the age of the configuration and registry data that the instance uses.
+	// Known is the age of the rules and registry data that the instance uses.
 	Known  time.Duration
 	Events []timeline.Event
 }
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin implements the HTTP interface for operators and metrics. Its request and response
-// types are also used by the command-line client.
+// Package admin implements the operator API over HTTP, health checks and metrics. Its request and
+// response types are also used by the command-line client.
 package admin
 
 import (
@@ -23,15 +23,15 @@
 	"lycheehall.example/lycheehall/timeline"
 )
 
-// Backend provides the data and operations of the interface.
+// Backend provides what the operator API needs.
 type Backend interface {
 	// Ready reports whether the load balancer may send requests to this instance, and if not, why.
 	Ready() (bool, string)
 	Status(ctx context.Context) Status
 	Explain(req ExplainRequest) Explanation
-	// Timeline merges the events of all instances that answer; missing lists the others. If request
-	// is set, it returns only the events about the request with this ID, and the state changes shortly
-	// before them at the instances that have processed it.
+	// Timeline merges the events of all instances that reply; missing lists the others. If request
+	// is set, it returns only the events about the request with this ID, and the state changes
+	// shortly before them at the instances that have processed it.
 	Timeline(ctx context.Context, request string) (events []timeline.Event, missing []string)
 	// Rules returns the rules in force, History the stored versions, newest first. Apply replaces the
 	// rules if version base is in force, and returns the new version. All three apply only to rules
@@ -39,8 +39,8 @@
 	Rules(ctx context.Context) (rulestore.Record, error)
 	History(ctx context.Context) ([]rulestore.Record, error)
 	Apply(ctx context.Context, base uint64, change rulestore.Record) (uint64, error)
-	// SetEvacuated starts the evacuation of a data centre, whose targets then receive no requests, or ends
-	// it if inForce is false.
+	// SetEvacuated starts the evacuation of a data centre, whose targets then receive no requests,
+	// or ends it if inForce is false.
 	SetEvacuated(ctx context.Context, dataCentre string, inForce bool) error
 	// Quarantine lists the requests that are sent to no target. Release removes a request from
 	// quarantine, and reports whether it was there.
@@ -55,7 +55,7 @@
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Leading bool   `json:"leading"`
-	// DataAgeMs is the age of the configuration and registry data in use, in milliseconds.
+	// DataAgeMs is the age of the rules and registry data in use, in milliseconds.
 	DataAgeMs int64 `json:"known_ms"`
 	// RulesVersion is the version of the rules in force.
 	RulesVersion uint64 `json:"rules"`
@@ -73,12 +73,12 @@
 type InstanceStatus struct {
 	ID         string `json:"id"`
 	DataCentre string `json:"data_centre"`
-	// RulesVersion is the version of the rules, Maps the version of the map of each service.
+	// RulesVersion is the version of the rules, MapVersions the version of the map of each service.
 	RulesVersion uint64            `json:"rules"`
 	MapVersions  map[string]uint64 `json:"maps"`
-	// DataAgeMs is the age of the configuration and registry data in use, in milliseconds.
+	// DataAgeMs is the age of the rules and registry data in use, in milliseconds.
 	DataAgeMs int64 `json:"known_ms"`
-	// Missing says that the instance did not answer.
+	// Missing says that the instance did not reply.
 	Missing bool `json:"missing,omitempty"`
 }
 
@@ -149,15 +149,16 @@
 	Code string `json:"code"`
 }
 
-// QuarantinedRequest is a request that is sent to no target because targets ended while they ran it.
+// QuarantinedRequest is a request that is sent to no target because targets exited while they ran
+// it.
 type QuarantinedRequest struct {
 	// Fingerprint identifies the request. It is the same as in the log.
 	Fingerprint string `json:"fingerprint"`
-	// Targets is the number of targets that ended, Callers the number of callers whose requests they
-	// were running.
+	// Targets is the number of targets that exited, Callers the number of callers whose requests
+	// they were running.
 	Targets int `json:"targets"`
 	Callers int `json:"callers"`
-	// LastCrash is when the last of these targets ended, Until when the quarantine expires.
+	// LastCrash is when the last of these targets exited, Until when the quarantine expires.
 	LastCrash time.Time `json:"last_crash"`
 	Until     time.Time `json:"until"`
 }
@@ -170,7 +171,7 @@
 // TimelineResponse is a merged timeline.
 type TimelineResponse struct {
 	Events []timeline.Event `json:"events"`
-	// Missing lists the instances that did not answer.
+	// Missing lists the instances that did not reply.
 	Missing []string `json:"missing,omitempty"`
 }
 
@@ -206,8 +207,8 @@
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if !ok || subtle.ConstantTimeCompare([]byte(given), []byte(token)) != 1 {
+		presented, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+		if !ok || subtle.ConstantTimeCompare([]byte(presented), []byte(token)) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			writeJSON(w, http.StatusUnauthorized, Result{Code: "unauthorised", Error: "the operator token is missing or wrong"})
 			return
@@ -216,7 +217,7 @@
 	})
 }
 
-// serveReadiness answers the load balancer's health check.
+// serveReadiness responds to the load balancer's health check.
 func serveReadiness(w http.ResponseWriter, b Backend) {
 	ok, reason := b.Ready()
 	if !ok {
@@ -319,8 +320,8 @@
 
 func (h *handler) quarantine(w http.ResponseWriter, _ *http.Request) {
 	list := []QuarantinedRequest{}
-	for _, n := range h.backend.Quarantine() {
-		list = append(list, QuarantinedRequest{Fingerprint: n.Fingerprint.String(), Targets: n.Targets, Callers: n.Callers, LastCrash: n.LastCrash, Until: n.Until})
+	for _, q := range h.backend.Quarantine() {
+		list = append(list, QuarantinedRequest{Fingerprint: q.Fingerprint.String(), Targets: q.Targets, Callers: q.Callers, LastCrash: q.LastCrash, Until: q.Until})
 	}
 	writeJSON(w, http.StatusOK, list)
 }
