--- a/protocol/rules/changes.go
+++ b/protocol/rules/changes.go
@@ -33,8 +33,8 @@
 	Added []Rule
 }
 
-// errWrongBase reports that changes were applied to a set that they were not computed from.
-var errWrongBase = errors.New("rules: the changes were computed from another set")
+// errOtherPrevious means that changes were applied to a set that they were not computed from.
+var errOtherPrevious = errors.New("rules: the changes were computed from another set")
 
 // ChangesFrom returns the changes that turn previous into this set. A nil previous stands for the
 // empty set.
@@ -117,12 +117,12 @@
 		previousRules = previous.rules
 	}
 	if c.Of != orderHash(previousRules) {
-		return nil, errWrongBase
+		return nil, errOtherPrevious
 	}
 	s := &Set{services: c.Services, warnings: c.Notes}
 	for _, run := range c.Runs {
 		if run.From < 0 || run.Kept < 0 || run.Kept > len(previousRules)-run.From {
-			return nil, errWrongBase
+			return nil, errOtherPrevious
 		}
 		s.rules = append(s.rules, previousRules[run.From:run.From+run.Kept]...)
 		for _, r := range run.Added {
--- a/protocol/rules/changes_test.go
+++ b/protocol/rules/changes_test.go
@@ -11,9 +11,9 @@
 	"lycheehall.example/lycheehall/protocol/rules"
 )
 
-// passOn encodes the changes from one set to another, then decodes and applies them as a receiving
-// instance does. It returns the resulting set and the encoded size in bytes.
-func passOn(from, to *rules.Set) (*rules.Set, int) {
+// sendChanges encodes the changes from one set to another, then decodes and applies them as a
+// receiving instance does. It returns the resulting set and the encoded size in bytes.
+func sendChanges(from, to *rules.Set) (*rules.Set, int) {
 	GinkgoHelper()
 	text, err := to.ChangesFrom(from).Encode()
 	Expect(err).NotTo(HaveOccurred())
@@ -42,7 +42,7 @@
 		set, err := rules.Parse("example", examples.Rules)
 		Expect(err).NotTo(HaveOccurred())
 		set.AddWarnings(rules.Mistake{File: "f", Where: "rule 3", Message: "m"})
-		got, _ := passOn(nil, set)
+		got, _ := sendChanges(nil, set)
 		Expect(got.Rules()).To(Equal(set.Rules()))
 		Expect(got.Services()).To(Equal(set.Services()))
 		Expect(got.Warnings()).To(Equal(set.Warnings()))
@@ -50,7 +50,7 @@
 	})
 
 	It("are small if few rules have changed", func() {
-		got, size := passOn(manyRules(2000, "s"), manyRules(2000, "t"))
+		got, size := sendChanges(manyRules(2000, "s"), manyRules(2000, "t"))
 		Expect(size).To(BeNumerically("<", 2<<10))
 		Expect(got.Decide(request("GET", "/p1999/x")).Rule).To(BeNil(), "another host")
 		Expect(got.Rules()[1999].Then.Route).To(Equal("t"))
@@ -70,7 +70,7 @@
 				return set
 			}
 			from, to := draw("from"), draw("to")
-			got, _ := passOn(from, to)
+			got, _ := sendChanges(from, to)
 			Expect(got.Rules()).To(Equal(to.Rules()))
 			Expect(got.Decide(request("GET", "/x/1")).Index).To(Equal(to.Decide(request("GET", "/x/1")).Index))
 		})
--- a/protocol/rules/check.go
+++ b/protocol/rules/check.go
@@ -14,8 +14,8 @@
 	MaxRules        = 1000
 	MaxDeadline     = 60 * time.Second
 	DefaultDeadline = 3 * time.Second
-	// DefaultImbalance makes keys move before a target is full: on an ordinary day, with half of all
-	// slots in use, the busiest target is full from 1.6 times the mean load on.
+	// DefaultImbalance has keys reassigned before a target is full: with half of all slots in use,
+	// the busiest target is full from 1.6 times the mean load on.
 	DefaultImbalance = 1.2
 	// DefaultMaxAttempts allows one more target after the first.
 	DefaultMaxAttempts = 2
@@ -26,7 +26,7 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// checker collects the mistakes in a configuration.
+// checker collects the mistakes in services and rules.
 type checker struct {
 	fileName string
 	text     string
@@ -42,26 +42,26 @@
 }
 
 // check checks each service and rule on its own, and fills in defaults.
-func check(name, text string, f *file) *checker {
+func check(name, text string, doc *document) *checker {
 	c := &checker{fileName: name, text: text, services: map[string]*Service{}}
-	for i := range f.Service {
-		c.checkService(i, &f.Service[i])
+	for i := range doc.Service {
+		c.checkService(i, &doc.Service[i])
 	}
 	names := map[string]int{}
-	for i := range f.Rule {
-		c.checkRule(i, &f.Rule[i], names)
+	for i := range doc.Rule {
+		c.checkRule(i, &doc.Rule[i], names)
 	}
 	return c
 }
 
 // checkFile adds the checks for rules that people write: that each of them can match, and that
 // there are not too many, since that check compares every pair of rules.
-func (c *checker) checkFile(f *file) Mistakes {
-	if len(f.Rule) > MaxRules {
+func (c *checker) checkFile(doc *document) Mistakes {
+	if len(doc.Rule) > MaxRules {
 		c.setLocation("", 0, "")
-		c.report("rule", "there are %d rules; at most %d are accepted", len(f.Rule), MaxRules)
+		c.report("rule", "there are %d rules; at most %d are accepted", len(doc.Rule), MaxRules)
 	}
-	c.checkReachability(f)
+	c.checkReachability(doc)
 	return c.mistakes
 }
 
@@ -265,13 +265,13 @@
 
 // checkReachability reports rules that can never match because an earlier rule matches every request
 // that they do.
-func (c *checker) checkReachability(f *file) {
-	parsed := parseWhens(f.Rule)
-	for j := range f.Rule {
-		for i := range f.Rule[:j] {
+func (c *checker) checkReachability(doc *document) {
+	parsed := parseConditions(doc.Rule)
+	for j := range doc.Rule {
+		for i := range doc.Rule[:j] {
 			if covers(&parsed[i], &parsed[j]) {
-				c.setLocation("rule", j, f.Rule[j].Name)
-				c.report("when", "can never match: rule %d %q above matches all of it; move this rule up", i+1, f.Rule[i].Name)
+				c.setLocation("rule", j, doc.Rule[j].Name)
+				c.report("when", "can never match: rule %d %q matches every request that this rule matches; move this rule above it", i+1, doc.Rule[i].Name)
 				break
 			}
 		}
--- a/protocol/rules/index.go
+++ b/protocol/rules/index.go
@@ -92,16 +92,16 @@
 	return r.when.path[len(r.when.path)-1].text
 }
 
-// candidates iterates over the union of several lists of rules in the order of the set. Each list is
-// in that order itself.
-type candidates struct {
+// candidateLists iterates over the union of several lists of rules in the order of the set. Each
+// list is in that order itself.
+type candidateLists struct {
 	// lists holds count lists that are not empty: at most one for each number of slashes in byPrefix,
 	// and four of the segment indexes.
 	lists [maxIndexedSlashes + 4][]indexedRule
 	count int
 }
 
-func (c *candidates) add(list []indexedRule) {
+func (c *candidateLists) add(list []indexedRule) {
 	if len(list) > 0 {
 		c.lists[c.count] = list
 		c.count++
@@ -109,7 +109,7 @@
 }
 
 // candidates returns the rules that may match a path; all other rules cannot.
-func (x *index) candidates(path *pathSegments) (c candidates) {
+func (x *index) candidates(path *pathSegments) (c candidateLists) {
 	c.add(x.anyFirstSegment.anyLastSegment)
 	if path.count == 0 {
 		return c
@@ -127,7 +127,7 @@
 }
 
 // next removes and returns the first remaining rule, or nil if there is none.
-func (c *candidates) next() *indexedRule {
+func (c *candidateLists) next() *indexedRule {
 	if c.count == 0 {
 		return nil
 	}
--- a/protocol/rules/match.go
+++ b/protocol/rules/match.go
@@ -36,7 +36,7 @@
 	return source, name, found && name != "" && source != noKey
 }
 
-// Set is a checked configuration in the form that requests are matched against.
+// Set holds checked services and rules in the form that requests are matched against.
 type Set struct {
 	services []Service
 	rules    []*compiledRule
@@ -44,10 +44,11 @@
 	warnings Mistakes
 }
 
-// AddWarnings adds mistakes in parts of the configuration that could not be used.
+// AddWarnings adds mistakes in services or rules that could not be used, while the rest of the set
+// is.
 func (s *Set) AddWarnings(m ...Mistake) { s.warnings = append(s.warnings, m...) }
 
-// Warnings returns the mistakes in a configuration that is in use in spite of them.
+// Warnings returns the mistakes in spite of which the set is used.
 func (s *Set) Warnings() Mistakes { return s.warnings }
 
 // compiledRule is a rule in the form that requests are matched against.
@@ -100,10 +101,10 @@
 	KeyIsNumber bool
 }
 
-func compile(f *file) *Set {
-	s := &Set{services: f.Service, rules: make([]*compiledRule, len(f.Rule))}
-	for i := range f.Rule {
-		s.rules[i] = compileRule(f.Rule[i])
+func compile(doc *document) *Set {
+	s := &Set{services: doc.Service, rules: make([]*compiledRule, len(doc.Rule))}
+	for i := range doc.Rule {
+		s.rules[i] = compileRule(doc.Rule[i])
 	}
 	s.index = buildIndex(s.rules)
 	return s
@@ -165,8 +166,8 @@
 	var path pathSegments
 	path.split(r.URL.Path)
 	var v variables
-	remaining := s.index.candidates(&path)
-	for c := remaining.next(); c != nil; c = remaining.next() {
+	candidates := s.index.candidates(&path)
+	for c := candidates.next(); c != nil; c = candidates.next() {
 		if c.when.matches(r, &path, &v) {
 			return c.decide(r, &v)
 		}
@@ -267,7 +268,7 @@
 	return slices.Contains(values, h.value)
 }
 
-// Services returns the services in the order of the configuration.
+// Services returns the services in the order in which they were defined.
 func (s *Set) Services() []Service { return s.services }
 
 // Service returns the service with the given name, or nil.
--- a/protocol/rules/parse.go
+++ b/protocol/rules/parse.go
@@ -10,81 +10,80 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxTextBytes is the largest accepted size of a configuration.
+// MaxTextBytes is the largest accepted size of a rules file.
 const MaxTextBytes = 256 << 10
 
-// Parse parses and checks a configuration. name is the file name in mistakes. The error is of type
-// Mistakes and lists all of them.
+// Parse parses and checks the text of a rules file. name is the file name in mistakes. The error is
+// of type Mistakes and lists all of them.
 func Parse(name, text string) (*Set, error) {
 	if len(text) > MaxTextBytes {
 		return nil, Mistakes{{File: name, Message: fmt.Sprintf("the file has %d bytes; at most %d are accepted", len(text), MaxTextBytes)}}
 	}
-	var f file
-	mistakes := decode(name, text, &f)
-	mistakes = append(mistakes, check(name, text, &f).checkFile(&f)...)
+	var doc document
+	mistakes := decode(name, text, &doc)
+	mistakes = append(mistakes, check(name, text, &doc).checkFile(&doc)...)
 	if len(mistakes) > 0 {
 		return nil, mistakes
 	}
-	return compile(&f), nil
+	return compile(&doc), nil
 }
 
-// Build checks a configuration that was read from another format. Unlike Parse it accepts rules that
-// can never match: for generated rules the check, which compares every pair, is not worth its cost.
+// Build checks services and rules that were read from another format. Unlike Parse it accepts rules
+// that can never match: for generated rules the check, which compares every pair, is not worth its
+// cost.
 func Build(name string, services []Service, list []Rule) (*Set, error) {
-	f := &file{Service: services, Rule: list}
-	if mistakes := check(name, "", f).mistakes; len(mistakes) > 0 {
+	doc := &document{Service: services, Rule: list}
+	if mistakes := check(name, "", doc).mistakes; len(mistakes) > 0 {
 		return nil, mistakes
 	}
-	return compile(f), nil
+	return compile(doc), nil
 }
 
-// The message and Retry-After of the answer to a request whose rule could not be understood.
-// Operators who notice it need a few seconds to apply another configuration.
+// The message and Retry-After of the response to a request whose rule has a mistake. Operators need
+// at least a few seconds to notice and correct it.
 const (
 	RuleNotUnderstood           = "rule-not-understood"
 	RuleNotUnderstoodRetryAfter = Duration(5 * time.Second)
 )
 
-// BuildLenient is like Build, for a configuration that another system has already accepted and that
-// must be used as far as possible. A rule with a mistake refuses all requests that it matches, so that
-// they are known not to have run, and the mistake is added to the set's warnings. An error is returned
-// only for conflicts between rules or services: two have the same name.
-//
-// Without it, a single rule of an unknown kind invalidates the whole configuration, and no request
-// is served at all.
+// BuildLenient is like Build, for a configuration of the platform, which the platform has already
+// accepted and which must be used as far as possible. A rule with a mistake refuses all requests
+// that it matches, so that they are known not to have been executed, and the mistake is added to
+// the set's warnings. An error is returned only for conflicts between rules or services: two have
+// the same name. So a single rule of an unknown kind does not stop all other rules.
 func BuildLenient(name string, services []Service, list []Rule) (*Set, error) {
-	f := &file{Service: services, Rule: list}
-	c, notes := checkAndRefuseInvalid(name, f)
+	doc := &document{Service: services, Rule: list}
+	c, mistakes := checkAndRefuseInvalid(name, doc)
 	if len(c.conflicts) > 0 {
 		return nil, c.conflicts
 	}
-	s := compile(f)
-	s.AddWarnings(notes...)
+	s := compile(doc)
+	s.AddWarnings(mistakes...)
 	return s, nil
 }
 
 // checkAndRefuseInvalid checks all services and rules, and makes rules with mistakes refuse all
 // requests that they match.
-func checkAndRefuseInvalid(name string, f *file) (*checker, Mistakes) {
+func checkAndRefuseInvalid(name string, doc *document) (*checker, Mistakes) {
 	c := &checker{fileName: name, services: map[string]*Service{}}
-	for i := range f.Service {
-		c.checkService(i, &f.Service[i])
+	for i := range doc.Service {
+		c.checkService(i, &doc.Service[i])
 	}
 	names := map[string]int{}
-	for i := range f.Rule {
+	for i := range doc.Rule {
 		mistakesBefore := len(c.mistakes)
-		c.checkRule(i, &f.Rule[i], names)
+		c.checkRule(i, &doc.Rule[i], names)
 		if len(c.mistakes) > mistakesBefore {
-			f.Rule[i].Then = Then{Refuse: &Refuse{Status: http.StatusServiceUnavailable, Message: RuleNotUnderstood, RetryAfter: RuleNotUnderstoodRetryAfter}}
+			doc.Rule[i].Then = Then{Refuse: &Refuse{Status: http.StatusServiceUnavailable, Message: RuleNotUnderstood, RetryAfter: RuleNotUnderstoodRetryAfter}}
 		}
 	}
 	return c, c.mistakes
 }
 
 // decode parses the text and returns syntax errors, wrong types and unknown fields as mistakes.
-func decode(name, text string, f *file) Mistakes {
+func decode(name, text string, doc *document) Mistakes {
 	dec := toml.NewDecoder(strings.NewReader(text)).DisallowUnknownFields()
-	err := dec.Decode(f)
+	err := dec.Decode(doc)
 	if err == nil {
 		return nil
 	}
--- a/protocol/rules/reachability.go
+++ b/protocol/rules/reachability.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// parsedWhen is a condition with its parsed path pattern.
-type parsedWhen struct {
+// parsedCondition is a condition with its parsed path pattern.
+type parsedCondition struct {
 	*When
 	// pattern is nil if the condition has no path pattern or an invalid one.
 	pattern pattern
 }
 
-// parseWhens parses the patterns of all rules once, since covers is called for every pair of rules.
-func parseWhens(list []Rule) []parsedWhen {
-	out := make([]parsedWhen, len(list))
+// parseConditions parses the patterns of all rules once, since covers is called for every pair of
+// rules.
+func parseConditions(list []Rule) []parsedCondition {
+	out := make([]parsedCondition, len(list))
 	for i := range list {
 		out[i].When = &list[i].When
 		if p, err := parsePattern(list[i].When.Path); err == nil {
@@ -25,10 +26,10 @@
 	return out
 }
 
-// covers reports whether a is certain to match whenever b matches. It compares the plain fields only,
-// and returns false if a uses All, Any or Not. So it may miss an unreachable rule, but never reports
-// a reachable one.
-func covers(a, b *parsedWhen) bool {
+// covers reports whether a is certain to match whenever b matches. It compares only the fields that
+// are not nested conditions, and returns false if a uses All, Any or Not. So it may miss an
+// unreachable rule, but never reports a reachable one.
+func covers(a, b *parsedCondition) bool {
 	if len(a.All) > 0 || len(a.Any) > 0 || a.Not != nil {
 		return false
 	}
--- a/protocol/rules/rules_test.go
+++ b/protocol/rules/rules_test.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-var _ = Describe("a configuration", func() {
-	It("is accepted if it is the example", func() {
+var _ = Describe("a rules file", func() {
+	It("is accepted if it has no mistakes, as the example", func() {
 		set, err := rules.Parse("example", examples.Rules)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Rules()).To(HaveLen(8))
--- a/protocol/rules/types.go
+++ b/protocol/rules/types.go
@@ -10,8 +10,8 @@
 // Duration is a time.Duration that is written as text, such as "250ms" or "2s".
 type Duration = clock.Duration
 
-// file is the TOML document.
-type file struct {
+// document is the content of a rules file.
+type document struct {
 	Service []Service `toml:"service"`
 	Rule    []Rule    `toml:"rule"`
 }
@@ -24,15 +24,15 @@
 	// of them under grants.
 	Keyed bool `toml:"keyed"`
 	// TargetConnections is the largest number of connections to one target from all instances
-	// together. 0: no limit.
+	// together; 0 means no limit.
 	TargetConnections int `toml:"target_connections"`
-	// Imbalance is the ratio of the highest load of a target to the mean load from which keys are
-	// moved to balance the targets. Default 1.2.
+	// Imbalance is the ratio of the highest load of a target to the mean load from which on keys
+	// are reassigned to balance the targets. Default 1.2.
 	Imbalance float64 `toml:"imbalance"`
-	// ColdStart is how long a target counts as cold after it starts. 0: not at all.
+	// ColdStart is how long a target counts as cold after it starts; 0 means not at all.
 	ColdStart Duration `toml:"cold_start"`
-	// ColdRate is the largest number of requests a second that a cold target takes from all
-	// instances together. 0: no limit.
+	// ColdRate is the largest number of requests a second that a cold target accepts from all
+	// instances together; 0 means no limit.
 	ColdRate float64 `toml:"cold_rate"`
 }
 
@@ -72,24 +72,24 @@
 
 // Then is what is done with a request. Exactly one of Route, Backends and Refuse is set.
 type Then struct {
-	// Route names the service that runs the request.
+	// Route names the service that the request is sent to.
 	Route string `toml:"route"`
 	// Key says where the key is: "path:NAME", "header:NAME" or "query:NAME" for a text that
 	// is hashed, "number:HEADER" for a header with the key number. A keyed service requires it.
 	Key string `toml:"key"`
-	// Idempotent says that running the request twice has the same effect as running it once.
+	// Idempotent says that executing the request twice has the same effect as executing it once.
 	Idempotent bool `toml:"idempotent"`
 	// Deadline is the time limit for the whole request. Default 3s, at most 60s.
 	Deadline Duration `toml:"deadline"`
 	// Limit limits the requests of the rule on each instance.
 	Limit *Limit `toml:"limit"`
-	// Refuse is the answer to a request that is not to be run.
+	// Refuse is the response to a request that is not to be executed.
 	Refuse *Refuse `toml:"refuse"`
 	// Backends divides the rule's requests among services by weight.
 	Backends []Backend `toml:"backends"`
 	// MaxAttempts is the largest number of targets that one request is sent to. Default 2.
 	MaxAttempts int `toml:"max_attempts"`
-	// Aim is the response time up to which an answer has its full value for the caller. Default:
+	// Aim is the response time up to which a response has its full value for the caller. Default:
 	// half of the deadline.
 	Aim Duration `toml:"aim"`
 	// Priority ranks requests when targets lack free slots; 0 is served first.
@@ -105,25 +105,25 @@
 
 // Limit limits the requests on each instance. Requests above it are refused immediately.
 type Limit struct {
-	// PerSecond is the rate in requests a second, with bursts of up to Burst. 0: no limit.
+	// PerSecond is the rate in requests a second, with bursts of up to Burst; 0 means no limit.
 	PerSecond float64 `toml:"per_second"`
 	// Burst defaults to PerSecond, but at least 1.
 	Burst int `toml:"burst"`
-	// Concurrent is the largest number of requests in flight. 0: no limit.
+	// Concurrent is the largest number of requests in flight; 0 means no limit.
 	Concurrent int `toml:"concurrent"`
 }
 
-// Refuse is a fixed answer.
+// Refuse is a fixed response.
 type Refuse struct {
 	// Status is the HTTP status, 400 to 599.
 	Status int `toml:"status"`
-	// Message is the body of the answer.
+	// Message is the body of the response.
 	Message string `toml:"message"`
-	// RetryAfter is the Retry-After of the answer, rounded up to whole seconds.
+	// RetryAfter is the Retry-After of the response, which has it in seconds with three decimals.
 	RetryAfter Duration `toml:"retry_after"`
 }
 
-// Mistake is a mistake in a configuration.
+// Mistake is a mistake in a service or rule.
 type Mistake struct {
 	File string
 	// Line is 0 if the mistake is not at a particular line.
@@ -149,7 +149,8 @@
 	return b.String()
 }
 
-// Mistakes is the list of all mistakes in a configuration. It is an error.
+// Mistakes is the list of all mistakes in a rules file, or in services and rules from another
+// source. It is an error.
 type Mistakes []Mistake
 
 // Error returns the mistakes, one on each line.
