--- a/coordination/permit/permit_test.go
+++ b/coordination/permit/permit_test.go
@@ -342,6 +342,11 @@
 			defer k.mu.Unlock()
 			return k.ticks
 		}
+		ticking := func() bool {
+			k.mu.Lock()
+			defer k.mu.Unlock()
+			return k.ticking
+		}
 		time.Sleep(5 * serveInterval)
 		Expect(ticks()).To(BeZero())
 		for n := range 2 {
@@ -351,8 +356,10 @@
 			begun := ticks()
 			Eventually(ticks, "1s", "5ms").Should(BeNumerically(">", begun))
 			k.Release(ask.Pool(), Report{ID: p.ID, Target: "a", Rule: "r", Result: ResultServed, Took: time.Millisecond})
-			time.Sleep(2 * serveInterval)
+			released := ticks()
+			Eventually(ticking, "1s", "5ms").Should(BeFalse())
 			idle := ticks()
+			Expect(idle).To(BeNumerically("<=", released+1))
 			time.Sleep(5 * serveInterval)
 			Expect(ticks()).To(Equal(idle))
 		}
