--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// queueLength is the capacity of the queue in lines. It absorbs the lines logged during a slow write.
-	queueLength = 2048
-	// linesPerSecond is the rate limit. An instance handles some tens of requests a second on an
-	// ordinary day, and a few hundred on the busiest.
+	// queueLines is the capacity of the queue in lines. It absorbs the lines logged during a slow write.
+	queueLines = 2048
+	// linesPerSecond is the rate limit. It is above the request rate of an instance, which is usually
+	// some tens a second and at most a few hundred.
 	linesPerSecond = 600
-	// requestRingSize and eventRingSize are the numbers of events held for the timeline. Events about
-	// requests have a ring of their own, because they would displace all others.
-	requestRingSize = 512
-	eventRingSize   = 512
+	// requestRingEvents and eventRingEvents are the numbers of events in memory for the timeline.
+	// Events about requests have a ring of their own, because they would displace all others.
+	requestRingEvents = 512
+	eventRingEvents   = 512
 )
 
 var linesDropped = metrics.GetOrCreateCounter("lycheehall_log_lines_dropped_total")
@@ -59,8 +59,8 @@
 	l := &Log{
 		handler: json.New(w), instance: instance,
 		limiter: rate.NewLimiter(linesPerSecond, linesPerSecond),
-		queue:   make(chan *log.Entry, queueLength), writerDone: make(chan struct{}),
-		events: timeline.NewRing(instance, eventRingSize), requests: timeline.NewRing(instance, requestRingSize),
+		queue:   make(chan *log.Entry, queueLines), writerDone: make(chan struct{}),
+		events: timeline.NewRing(instance, eventRingEvents), requests: timeline.NewRing(instance, requestRingEvents),
 	}
 	go l.write()
 	return l
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings file of an instance. It contains what a process needs
-// to know before it can connect to anything. What operators change at run time is in the rules.
+// Package settings reads and checks the settings file of an instance, which contains what a process
+// needs before it can connect to anything. Operators change the rules at run time instead.
 package settings
 
 import (
@@ -29,8 +29,8 @@
 	Name string `toml:"name" comment:"Name of this instance; each start adds a suffix of its own."`
 	// DataCentre is where the instance runs.
 	DataCentre string `toml:"data_centre" comment:"Data centre that this instance runs in."`
-	// Weight is the share of a processor core that the instance has. Duties for other instances are
-	// distributed in proportion to it.
+	// Weight is the processor capacity of the instance in cores. Its duties are in proportion to it. A
+	// duty is work that an instance does for others: keeping pools of permits and relaying reports.
 	Weight float64 `toml:"weight" comment:"Part of a processor core that this instance has; duties for others are shared by it."`
 	// Listen is the address for callers, as IP:port like all addresses here.
 	Listen string `toml:"listen" comment:"Address for callers, as IP:port."`
@@ -45,11 +45,11 @@
 	Admin string `toml:"admin" comment:"Address for operators and metrics, as IP:port."`
 	// Platform is the address of the platform's store.
 	Platform string `toml:"platform" comment:"Address of the platform's store, as IP:port."`
-	// Grace is the time from SIGTERM until the platform kills the process.
+	// Grace is the grace period: the time from SIGTERM until the platform kills the process.
 	Grace Duration `toml:"grace" comment:"Time from SIGTERM until the platform ends the process."`
 	// HoldMax is the longest hold of a grant of keys that targets accept.
 	HoldMax Duration `toml:"hold_max" comment:"Longest hold of a grant of keys that targets accept."`
-	// Drain is how long a target still takes requests after it has announced that it is leaving.
+	// Drain is how long a target still accepts requests after it has reported that it is leaving.
 	Drain Duration `toml:"drain" comment:"Time for which a target takes requests after it has said that it leaves."`
 	// MaxBody is the largest accepted request body, in bytes.
 	MaxBody int64 `toml:"max_body" comment:"Largest request body accepted, in bytes."`
@@ -65,7 +65,7 @@
 	TLSCert string `toml:"tls_cert" comment:"PEM file with this instance's certificate, for its IP number; empty: calls between instances are not encrypted."`
 	TLSKey  string `toml:"tls_key" comment:"PEM file with its key."`
 	TLSCA   string `toml:"tls_ca" comment:"PEM file with the authority that issued all instances' certificates."`
-	// OperatorToken is the bearer token that operators must send. If it is empty, the admin address
+	// OperatorToken is the bearer token that operators must send. If it is empty, the operator API
 	// answers queries without one, and accepts no changes.
 	OperatorToken string  `toml:"operator_token" comment:"Token that operators must give, at least 16 characters; empty: the operators' address answers questions and takes no changes."`
 	Retries       Retries `toml:"retries" comment:"What all instances together may send again."`
--- a/state/rulestore/evacuate.go
+++ b/state/rulestore/evacuate.go
@@ -13,8 +13,8 @@
 // centre is evacuated.
 const evacuationKeyPrefix = "evacuate/"
 
-// maxEvacuateAttempts limits the attempts to change a row that is being changed concurrently.
-const maxEvacuateAttempts = 3
+// maxSetAttempts limits the attempts to change a row that is being changed concurrently.
+const maxSetAttempts = 3
 
 // EvacuatedDataCentre returns the data centre that a row of Table marks as evacuated; ok is false for
 // other rows. The evacuation is in force as long as the row exists.
@@ -23,23 +23,24 @@
 	return dataCentre, ok && dataCentre != ""
 }
 
-// SetEvacuated starts the evacuation of a data centre, whose targets then receive no requests, or ends it
+// SetEvacuated starts the evacuation of a data centre, whose targets then get no requests, or ends it
 // if inForce is false. It does nothing if the evacuation is already in that state.
 func SetEvacuated(ctx context.Context, s store.Store, dataCentre string, inForce bool) error {
 	if dataCentre == "" {
 		return fmt.Errorf("%w: the name of the data centre is empty", ErrInvalid)
 	}
 	var err error
-	for range maxEvacuateAttempts {
-		if err = evacuateOnce(ctx, s, store.ID{Table: Table, Key: evacuationKeyPrefix + dataCentre}, inForce); !errors.Is(err, store.ErrConflict) {
+	for range maxSetAttempts {
+		if err = tryToSetEvacuated(ctx, s, store.ID{Table: Table, Key: evacuationKeyPrefix + dataCentre}, inForce); !errors.Is(err, store.ErrConflict) {
 			break
 		}
 	}
 	return translateError(err)
 }
 
-// evacuateOnce makes one attempt; it returns store.ErrConflict if the row was changed concurrently.
-func evacuateOnce(ctx context.Context, s store.Store, id store.ID, inForce bool) error {
+// tryToSetEvacuated makes one attempt. It returns store.ErrConflict if the row was changed
+// concurrently.
+func tryToSetEvacuated(ctx context.Context, s store.Store, id store.ID, inForce bool) error {
 	rows, _, err := s.Scan(ctx, Table, "")
 	if err != nil {
 		return err
--- a/state/rulestore/rulestore.go
+++ b/state/rulestore/rulestore.go
@@ -1,5 +1,5 @@
-// Package rulestore stores the operators' rules, for platforms without a configuration of their own.
-// It holds the rules in force and a history of versions, and which data centres are evacuated.
+// Package rulestore keeps the operators' rules in the store, for platforms without a configuration of
+// their own: the rules in force, a history of versions, and which data centres are evacuated.
 package rulestore
 
 import (
@@ -32,21 +32,21 @@
 type Record struct {
 	Version uint64 `json:"version"`
 	// ChangeID identifies the change that made this version, so that a client can repeat a change after
-	// a lost answer without making it twice.
+	// a lost response without making it twice.
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
 	Text     string `json:"text"`
 }
 
-// The errors of Apply, Evacuate, Current and History.
+// The errors of Apply, SetEvacuated, Current and History.
 var (
-	// ErrConflict reports that another change was made first.
-	ErrConflict = errors.New("rulestore: another change came first")
-	// ErrInvalid reports that the rules, or other arguments, are not valid.
+	// ErrConflict means that another change was made first.
+	ErrConflict = errors.New("rulestore: another change was made meanwhile")
+	// ErrInvalid means that the rules, or other arguments, are not valid.
 	ErrInvalid = errors.New("rulestore: invalid change or rules")
-	// ErrUncertain reports that the change may or may not have been made.
-	ErrUncertain = errors.New("rulestore: the change may have been accepted")
-	// ErrUnavailable reports that the store is unavailable, and that nothing was changed.
+	// ErrUncertain means that the change may or may not have been made.
+	ErrUncertain = errors.New("rulestore: the change may or may not have been made")
+	// ErrUnavailable means that the store is unavailable, and that nothing was changed.
 	ErrUnavailable = errors.New("rulestore: the store is unavailable")
 )
 
@@ -66,7 +66,7 @@
 	return r.Version, set, nil
 }
 
-// contents is the content of the table except for evacuations, with the row versions.
+// contents has the table's rules and history, with the store versions of their rows.
 type contents struct {
 	current        Record
 	currentVersion uint64
@@ -74,88 +74,88 @@
 	historyVersion uint64
 }
 
-// read returns the current contents of the table.
+// read reads the rules and the history.
 func read(ctx context.Context, s store.Store) (*contents, error) {
 	rows, _, err := s.Scan(ctx, Table, "")
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	st := &contents{}
+	c := &contents{}
 	for _, row := range rows {
 		var err error
 		switch row.Key {
 		case currentKey:
-			st.currentVersion = row.Version
-			err = json.Unmarshal(row.Value, &st.current)
+			c.currentVersion = row.Version
+			err = json.Unmarshal(row.Value, &c.current)
 		case historyKey:
-			st.historyVersion = row.Version
-			err = json.Unmarshal(row.Value, &st.history)
+			c.historyVersion = row.Version
+			err = json.Unmarshal(row.Value, &c.history)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%w: row %s: %w", ErrInvalid, row.Key, err)
 		}
 	}
-	return st, nil
+	return c, nil
 }
 
 // Current returns the rules in force. Their version is 0 if there are none.
 func Current(ctx context.Context, s store.Store) (Record, error) {
-	st, err := read(ctx, s)
+	c, err := read(ctx, s)
 	if err != nil {
 		return Record{}, err
 	}
-	return st.current, nil
+	return c.current, nil
 }
 
 // History returns the stored versions, including the one in force, newest first.
 func History(ctx context.Context, s store.Store) ([]Record, error) {
-	st, err := read(ctx, s)
+	c, err := read(ctx, s)
 	if err != nil {
 		return nil, err
 	}
-	return st.history, nil
+	return c.history, nil
 }
 
 // Apply replaces the rules if version base is in force, and returns the new version. If the change's ID
 // is that of the version in force, the change has already been made and Apply does nothing.
 //
-// The new version is at least change.Version: a store that was restored from an earlier copy may hold an
+// The new version is at least change.Version: a store that was restored from a backup may contain an
 // older version than the one in force.
 func Apply(ctx context.Context, s store.Store, base uint64, change Record) (uint64, error) {
 	if _, err := rules.Parse("rules", change.Text); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	st, err := read(ctx, s)
+	c, err := read(ctx, s)
 	if err != nil {
 		return 0, err
 	}
-	if change.ChangeID != "" && st.current.ChangeID == change.ChangeID {
-		return st.current.Version, nil
+	if change.ChangeID != "" && c.current.ChangeID == change.ChangeID {
+		return c.current.Version, nil
 	}
-	if st.current.Version != base {
-		return st.current.Version, ErrConflict
+	if c.current.Version != base {
+		return c.current.Version, ErrConflict
 	}
 	change.Version = max(change.Version, base+1)
-	if err := commit(ctx, s, st, change); err != nil {
-		return st.current.Version, err
+	if err := commit(ctx, s, c, change); err != nil {
+		return c.current.Version, err
 	}
 	return change.Version, nil
 }
 
-// commit writes the change and the extended history, if neither row has been changed since st was read.
-func commit(ctx context.Context, s store.Store, st *contents, change Record) error {
+// commit writes the change and the extended history, if neither row has been changed since c was read.
+func commit(ctx context.Context, s store.Store, c *contents, change Record) error {
 	current, err := json.Marshal(change)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	history, err := encodeHistory(append([]Record{change}, st.history...))
+	history, err := encodeHistory(append([]Record{change}, c.history...))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	currentID := store.ID{Table: Table, Key: currentKey}
 	historyID := store.ID{Table: Table, Key: historyKey}
 	_, err = s.Commit(ctx, store.Txn{
-		Expect: []store.Expect{{ID: currentID, Version: st.currentVersion}, {ID: historyID, Version: st.historyVersion}},
+		Expect: []store.Expect{{ID: currentID, Version: c.currentVersion}, {ID: historyID, Version: c.historyVersion}},
 		Writes: []store.Write{{ID: currentID, Value: current}, {ID: historyID, Value: history}},
 	})
 	return translateError(err)
--- a/state/rulestore/rulestore_test.go
+++ b/state/rulestore/rulestore_test.go
@@ -49,9 +49,9 @@
 })
 
 var _ = Describe("a change of the rules", func() {
-	// Guards against a change that instances ignore as outdated, because a store that was restored from
-	// an earlier copy holds an older version than the one in force.
-	It("gets a version above the one in force if the store holds an older one", func() {
+	// Guards against a change that instances ignore as outdated, because a store that was restored from a
+	// backup contains an older version than the one in force.
+	It("gets a version above the one in force if the store contains an older one", func() {
 		stored := standin.NewStore()
 		server := httptest.NewServer(stored.Handler())
 		DeferCleanup(server.Close)
--- a/state/store/store.go
+++ b/state/store/store.go
@@ -12,20 +12,20 @@
 
 // The errors of a Store. Each states what is known about the effect of the call.
 var (
-	// ErrConflict reports that a condition of a transaction did not hold, and that nothing was changed.
+	// ErrConflict means that a condition of a transaction did not hold, and that nothing was changed.
 	// The error is a *ConflictError with the current rows.
 	ErrConflict = errors.New("store: a condition does not hold")
-	// ErrNotApplied reports that nothing was changed. The call may be repeated.
+	// ErrNotApplied means that nothing was changed. The call may be repeated.
 	ErrNotApplied = errors.New("store: not applied")
-	// ErrThrottled reports that nothing was changed because of too many calls.
+	// ErrThrottled means that nothing was changed because of too many calls.
 	ErrThrottled = errors.New("store: throttled")
-	// ErrOutcomeUnknown reports that the call may have taken effect, or may still take effect later if
+	// ErrOutcomeUnknown means that the call may have taken effect, or may still take effect later if
 	// its conditions hold then.
 	ErrOutcomeUnknown = errors.New("store: outcome unknown")
-	// ErrHistoryGone reports that a feed cannot continue from the given version, which may belong to a
+	// ErrHistoryGone means that a feed cannot continue from the given version, which may belong to a
 	// previous era. The table must be read again with Scan.
-	ErrHistoryGone = errors.New("store: history is gone")
-	// ErrInvalid reports that the store rejects the call itself. Repeating it does not help.
+	ErrHistoryGone = errors.New("store: the history from this version is not available")
+	// ErrInvalid means that the store rejects the call itself. Repeating it does not help.
 	ErrInvalid = errors.New("store: invalid call")
 )
 
@@ -43,7 +43,7 @@
 	// Version changes with each write of the row, and no version is used twice; see VersionOf. Its
 	// count is 0 if the row does not exist.
 	Version uint64
-	// Deleted marks a row that a feed reports as removed.
+	// Deleted says that a feed reports the row as removed.
 	Deleted bool
 }
 
@@ -60,14 +60,15 @@
 	Value []byte
 }
 
-// Txn is a transaction, which is applied atomically. All its rows must be in the same part.
+// Txn is a transaction. It is applied as a whole or not at all. All its rows must be in the same part.
 type Txn struct {
 	Expect []Expect
 	Writes []Write
 	Remove []ID
 }
 
-// ConflictError holds the current rows that a transaction's conditions refer to.
+// ConflictError is the error for a condition that did not hold. Rows are the current rows that the
+// conditions of the transaction refer to.
 type ConflictError struct {
 	Rows []Row
 }
--- a/state/store/version.go
+++ b/state/store/version.go
@@ -1,10 +1,10 @@
 package store
 
-// The store assigns versions from a counter. When the store is restored from a copy that is a few seconds
-// old, the counter goes back, and the same counts are assigned again to other content. The store signals
-// this by its era, which increases with each restoration. A version of a row or of a reading therefore
-// combines the era and the count in one number: newer data always has a higher version, and the counts of
-// two eras are never compared.
+// The store assigns versions from a counter. When the store is restored from a backup that is a few
+// seconds old, the counter decreases and assigns the same counts to other content. The store reports
+// this by its era, which increases with each restore. The store version of a row or of a read therefore
+// combines the era and the count in one number: newer data always has a higher version, and the counts
+// of two eras are never compared.
 
 // eraShift is the number of low bits of a version that hold the count.
 const eraShift = 40
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -29,7 +29,7 @@
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Field is a name and a value as text.
+// Field is an input or an outcome of an event, as text.
 type Field struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -27,7 +27,7 @@
 		Expect(merged[1].Kind).To(Equal("map-adopted"))
 	})
 
-	It("holds the latest events and shows how many older ones were dropped", func() {
+	It("contains the latest events and shows how many older ones were dropped", func() {
 		r := NewRing("a", 3)
 		for range 5 {
 			r.Record(time.Time{}, "request")
