--- a/soak/callers.go
+++ b/soak/callers.go
@@ -17,10 +17,10 @@
 
 // The outcomes of a request.
 const (
-	// Answered: the caller got a complete answer that a target has signed.
+	// Answered: the caller got a complete response that a target has signed.
 	Answered Outcome = "answered"
-	// NotRun: the response guarantees that the request did not run and never will.
-	NotRun Outcome = "not run"
+	// NotExecuted: the response guarantees that the request did not run and never will.
+	NotExecuted Outcome = "not run"
 	// Unknown: any other response or none; the request may have run.
 	Unknown Outcome = "unknown"
 )
@@ -29,16 +29,16 @@
 type CallResult struct {
 	Outcome Outcome
 	Status  int
-	// OwnAnswer reports that the answer names this request and no other.
-	OwnAnswer bool
-	// Idempotent reports that the request may run twice.
+	// OwnResponse says whether the response has the ID of this request.
+	OwnResponse bool
+	// Idempotent says whether the request may run twice.
 	Idempotent bool
 	// Instance is the address that the request was sent to. Sent is the time just before that, and
 	// Received the time at which the complete response had arrived.
 	Instance       string
 	Sent, Received time.Time
-	// Leaving reports that the target announced in its answer that it is leaving. Limited reports that
-	// it announced a limit for all instances together.
+	// Leaving says whether the target reported in its response that it is leaving. Limited says whether
+	// it reported a limit for all instances together.
 	Leaving bool
 	Limited bool
 }
@@ -57,8 +57,8 @@
 const (
 	// callerCount is the number of callers.
 	callerCount = 16
-	// callerKeys is the number of keys (households) that callers choose from.
-	callerKeys = 60
+	// keyCount is the number of keys that callers choose from.
+	keyCount = 60
 	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 3 * time.Second
 	// callerPause is the time from the response to a request to the next request of the same caller.
@@ -86,7 +86,7 @@
 		case <-time.After(callerPause):
 		}
 		id := fmt.Sprintf("c%d-%d", n, i)
-		result := c.Call(c.addresses[rand.IntN(len(c.addresses))], id, rand.IntN(callerKeys), i%3 != 0)
+		result := c.Call(c.addresses[rand.IntN(len(c.addresses))], id, rand.IntN(keyCount), i%3 != 0)
 		c.mu.Lock()
 		c.results[id] = result
 		c.mu.Unlock()
@@ -136,9 +136,9 @@
 	switch signature := resp.Header.Get(platform.Headers().Signature); {
 	case signature != "":
 		result.Outcome = Answered
-		result.OwnAnswer = strings.HasSuffix(signature, "."+id) && (idempotent || strings.Contains(string(body), "with "+id+"\n"))
+		result.OwnResponse = strings.HasSuffix(signature, "."+id) && (idempotent || strings.Contains(string(body), "with "+id+"\n"))
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
-		result.Outcome = NotRun
+		result.Outcome = NotExecuted
 	}
 	return result
 }
@@ -154,7 +154,7 @@
 	return counts
 }
 
-// Finish stops the callers and returns the results of all requests by their ids.
+// Finish stops the callers and returns the results of all requests by their IDs.
 func (c *Callers) Finish() map[string]CallResult {
 	close(c.stop)
 	c.running.Wait()
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,7 +10,7 @@
 	"lycheehall.example/lycheehall/platform/standin"
 )
 
-// Check compares the results of the callers' requests, by request id, with the runs that targets
+// Check compares the results of the callers' requests, by request ID, with the runs that targets
 // recorded, and checks the fences of the runs. It returns the violations.
 func Check(results map[string]CallResult, runs []standin.Record) []string {
 	runCount := map[string]int{}
@@ -23,12 +23,12 @@
 		switch {
 		case !result.Idempotent && count > 1:
 			violations = append(violations, fmt.Sprintf("%s must not run twice, but ran %d times", id, count))
-		case result.Outcome == NotRun && count > 0:
-			violations = append(violations, fmt.Sprintf("%s was refused as not run with status %d, but ran", id, result.Status))
+		case result.Outcome == NotExecuted && count > 0:
+			violations = append(violations, fmt.Sprintf("%s was refused as not executed with status %d, but ran", id, result.Status))
 		case result.Outcome == Answered && count == 0:
 			violations = append(violations, fmt.Sprintf("%s was answered, but did not run", id))
-		case result.Outcome == Answered && !result.OwnAnswer:
-			violations = append(violations, fmt.Sprintf("%s got an answer that is not its own", id))
+		case result.Outcome == Answered && !result.OwnResponse:
+			violations = append(violations, fmt.Sprintf("%s got a response that is not its own", id))
 		}
 	}
 	slices.Sort(violations)
@@ -38,7 +38,7 @@
 // checkFences checks for each key, with the runs in the order in which they began, that fences never
 // decrease and that they increase from one process to the next. A lower fence shows a target that has
 // lost the key and began work on it after the next owner did. An equal fence of another process shows
-// a restarted target that got keys by an order for its former process.
+// a restarted target that got keys by an order for its previous process.
 func checkFences(runs []standin.Record) []string {
 	byKey := map[int][]standin.Record{}
 	for _, r := range runs {
@@ -59,8 +59,8 @@
 }
 
 // Runs reads the runs that all processes of all targets have recorded.
-func (f *Fleet) Runs() ([]standin.Record, error) {
-	paths, err := filepath.Glob(filepath.Join(f.dir, "*.runs"))
+func (d *Deployment) Runs() ([]standin.Record, error) {
+	paths, err := filepath.Glob(filepath.Join(d.dir, "*.runs"))
 	if err != nil {
 		return nil, fmt.Errorf("soak: list the records: %w", err)
 	}
--- a/soak/fleet.go
+++ b/soak/deployment.go
@@ -22,14 +22,15 @@
 	args []string
 	log  *os.File
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	stopped bool
-	exited  chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	paused bool
+	exited chan struct{}
 }
 
-// start starts the process unless it is running. Two overlapping faults both start it again: a
-// second process would fail to listen, and the first one would never be ended.
+// start starts the process unless it is running. Two overlapping faults may both start it again: the
+// second process would fail to listen, and would replace the record of the first one, which would
+// then never be ended.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +43,7 @@
 		return fmt.Errorf("soak: start %s: %w", p.name, err)
 	}
 	p.cmd = cmd
-	p.stopped = false
+	p.paused = false
 	ended := make(chan struct{})
 	p.exited = ended
 	go func() {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// running reports whether the process has been started and has not exited. The caller holds the lock.
+// running reports whether the process has been started and has not exited. The caller must hold the
+// lock.
 func (p *process) running() bool {
 	if p.exited == nil {
 		return false
@@ -75,15 +77,15 @@
 	}
 	switch s {
 	case syscall.SIGSTOP:
-		p.stopped = true
+		p.paused = true
 	case syscall.SIGCONT:
-		p.stopped = false
+		p.paused = false
 	}
 	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// pid returns the id of the process as last started, which tells its starts apart; 0: never started.
+// pid returns the ID of the latest process, which distinguishes its starts. 0 means never started.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,8 +111,8 @@
 	}
 }
 
-// Fleet is a deployment of processes: a store, targets, instances and the proxies between them.
-type Fleet struct {
+// Deployment is a store, targets and instances, each a process, and the proxies between them.
+type Deployment struct {
 	dir             string
 	store           *process
 	storeAddress    string
@@ -125,23 +127,24 @@
 	targetAddresses []string
 }
 
-// dataCentres is the number of data centres of a fleet.
+// dataCentres is the number of data centres of a deployment.
 const dataCentres = 3
 
 // dataCentreName returns the data centre of the i-th process of a kind.
 func dataCentreName(i int) string { return fmt.Sprintf("dc%d", i%dataCentres+1) }
 
-// DeploymentOptions is the number of instances and targets of a Fleet, and the defect of the targets.
+// DeploymentOptions are the size of a Deployment and the fault of its targets.
 type DeploymentOptions struct {
 	Instances int
 	Targets   int
-	// InjectedFault is a deliberate defect of the targets, to test whether the checks find it; "": none.
+	// InjectedFault, if not empty, is the injected fault of the targets, to test whether the checks
+	// find it.
 	InjectedFault string
 }
 
-// Ports are chosen below the range from which the system assigns ports to outgoing connections. A
-// port of that range may be assigned after it was chosen and before its process starts, or while its
-// process is down. The process then cannot listen.
+// Ports are chosen below the range from which the system assigns ports to outgoing connections. It
+// could assign a port of that range while the process does not listen: before it starts, or until it
+// is restarted. The process could then not listen.
 const (
 	firstPort = 12000
 	endPort   = 32000
@@ -167,29 +170,29 @@
 	return "", fmt.Errorf("soak: no port is free: %w", err)
 }
 
-// NewFleet starts a deployment with the built programs of a directory. Logs and records go to dir.
-// The fleet is returned also with an error; it must be stopped in any case.
-func NewFleet(programs, dir string, size DeploymentOptions) (*Fleet, error) {
-	f := &Fleet{dir: dir}
-	if err := f.startStore(programs); err != nil {
-		return f, err
+// NewDeployment starts a deployment with the built programs of a directory. Logs and records go to
+// dir. The deployment is returned also with an error; it must be stopped in any case.
+func NewDeployment(programs, dir string, size DeploymentOptions) (*Deployment, error) {
+	d := &Deployment{dir: dir}
+	if err := d.startStore(programs); err != nil {
+		return d, err
 	}
 	for i := range size.Targets {
-		if err := f.startTarget(programs, i, size.InjectedFault); err != nil {
-			return f, err
+		if err := d.startTarget(programs, i, size.InjectedFault); err != nil {
+			return d, err
 		}
 	}
 	for i := range size.Instances {
-		if err := f.startInstance(programs, i); err != nil {
-			return f, err
+		if err := d.startInstance(programs, i); err != nil {
+			return d, err
 		}
 	}
-	return f, nil
+	return d, nil
 }
 
 // startProcess starts a process whose output goes to a log named after it.
-func (f *Fleet) startProcess(name, path string, args ...string) (*process, error) {
-	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (d *Deployment) startProcess(name, path string, args ...string) (*process, error) {
+	log, err := os.OpenFile(filepath.Join(d.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("soak: open the log: %w", err)
 	}
@@ -198,13 +201,13 @@
 }
 
 // startStore starts the store and waits until it listens.
-func (f *Fleet) startStore(programs string) error {
+func (d *Deployment) startStore(programs string) error {
 	address, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	f.storeAddress = address
-	f.store, err = f.startProcess("store", filepath.Join(programs, "lycheehall-standin"), "--listen", address, "platform")
+	d.storeAddress = address
+	d.store, err = d.startProcess("store", filepath.Join(programs, "lycheehall-standin"), "--listen", address, "platform")
 	if err != nil {
 		return err
 	}
@@ -212,7 +215,7 @@
 }
 
 // startTarget starts a target that registers the address of the proxy in front of it.
-func (f *Fleet) startTarget(programs string, i int, plant string) error {
+func (d *Deployment) startTarget(programs string, i int, injectedFault string) error {
 	address, err := freeAddress()
 	if err != nil {
 		return err
@@ -224,25 +227,25 @@
 	proxy.SetTarget(address)
 	name := fmt.Sprintf("target%d", i+1)
 	args := []string{
-		"--listen", address, "target", "--platform", f.storeAddress, "--id", name, "--service", "bookings", "--work", "15ms",
-		"--advertise", proxy.Address(), "--record", filepath.Join(f.dir, name+".runs"),
+		"--listen", address, "target", "--platform", d.storeAddress, "--id", name, "--service", "bookings", "--work", "15ms",
+		"--advertise", proxy.Address(), "--record", filepath.Join(d.dir, name+".runs"),
 		"--data-centre", dataCentreName(i), "--cold", coldTime.String(), "--cold-rate", fmt.Sprint(coldRate), "--disturbed",
 	}
-	if plant != "" {
-		args = append(args, "--plant", plant)
+	if injectedFault != "" {
+		args = append(args, "--plant", injectedFault)
 	}
-	p, err := f.startProcess(name, filepath.Join(programs, "lycheehall-standin"), args...)
+	p, err := d.startProcess(name, filepath.Join(programs, "lycheehall-standin"), args...)
 	if err != nil {
 		return err
 	}
-	f.targets = append(f.targets, p)
-	f.targetProxies = append(f.targetProxies, proxy)
-	f.targetAddresses = append(f.targetAddresses, address)
+	d.targets = append(d.targets, p)
+	d.targetProxies = append(d.targetProxies, proxy)
+	d.targetAddresses = append(d.targetAddresses, address)
 	return nil
 }
 
 // startInstance starts an instance that reaches the store through a proxy.
-func (f *Fleet) startInstance(programs string, i int) error {
+func (d *Deployment) startInstance(programs string, i int) error {
 	var addresses [4]string
 	for n := range addresses {
 		address, err := freeAddress()
@@ -255,25 +258,25 @@
 	if err != nil {
 		return err
 	}
-	proxy.SetTarget(f.storeAddress)
+	proxy.SetTarget(d.storeAddress)
 	name := fmt.Sprintf("instance%d", i+1)
-	settings := filepath.Join(f.dir, name+".toml")
+	settings := filepath.Join(d.dir, name+".toml")
 	text := fmt.Sprintf("name = %q\ndata_centre = %q\nlisten = %q\npeer = %q\nadmin = %q\nreadiness = %q\nplatform = %q\n",
 		name, dataCentreName(i), addresses[0], addresses[1], addresses[2], addresses[3], proxy.Address())
 	if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
 		return fmt.Errorf("soak: write the settings: %w", err)
 	}
-	p, err := f.startProcess(name, filepath.Join(programs, "lycheehalld"), "--settings", settings)
+	p, err := d.startProcess(name, filepath.Join(programs, "lycheehalld"), "--settings", settings)
 	if err != nil {
 		return err
 	}
-	f.instances = append(f.instances, p)
-	f.callerAddresses = append(f.callerAddresses, addresses[0])
-	f.storeProxies = append(f.storeProxies, proxy)
+	d.instances = append(d.instances, p)
+	d.callerAddresses = append(d.callerAddresses, addresses[0])
+	d.storeProxies = append(d.storeProxies, proxy)
 	return nil
 }
 
-// startTimeout bounds the wait for a process to listen, to answer a control request, or to exit once
+// startTimeout limits the wait for a process to listen, to answer a control request, or to exit once
 // it was killed.
 const startTimeout = 5 * time.Second
 
@@ -288,11 +291,11 @@
 	return fmt.Errorf("soak: nothing listens at %s", address)
 }
 
-// Stop ends all processes that the fleet has started and closes the proxies.
-func (f *Fleet) Stop() {
-	all := append(append([]*process{}, f.instances...), f.targets...)
-	if f.store != nil {
-		all = append(all, f.store)
+// Stop kills all processes of the deployment and closes the proxies.
+func (d *Deployment) Stop() {
+	all := append(append([]*process{}, d.instances...), d.targets...)
+	if d.store != nil {
+		all = append(all, d.store)
 	}
 	for _, p := range all {
 		p.signal(syscall.SIGCONT)
@@ -300,7 +303,7 @@
 		p.awaitExit(startTimeout)
 		p.log.Close()
 	}
-	for _, p := range append(f.storeProxies, f.targetProxies...) {
+	for _, p := range append(d.storeProxies, d.targetProxies...) {
 		p.Close()
 	}
 }
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// coldTime is how long a target is cold after its start, and coldRate the number of requests a second
-	// that it takes meanwhile. The example rules have the same values.
+	// coldTime is how long a target is cold after its start, and coldRate the number of requests a
+	// second that it accepts meanwhile. The example rules have the same values.
 	coldTime = 2 * time.Second
 	coldRate = 20
 	// evacuationDelay is how long after the store has acknowledged an evacuation requests may still reach
 	// the targets of the data centre through an instance that was connected throughout.
 	evacuationDelay = 5 * time.Second
-	// evacuationTime is how long an evacuation is in force, and maxEvacuationPause the longest time
+	// evacuationPeriod is how long an evacuation is in force, and maxEvacuationPause the longest time
 	// between two.
-	evacuationTime     = evacuationDelay + 2*time.Second
+	evacuationPeriod   = evacuationDelay + 2*time.Second
 	maxEvacuationPause = 2 * time.Second
-	// evacuationTimeout bounds the write that starts or ends an evacuation.
+	// evacuationTimeout limits the wait for the write that starts or ends an evacuation.
 	evacuationTimeout = 5 * time.Second
 )
 
 // interval is a period of time.
 type interval struct{ from, to time.Time }
 
-func (s interval) overlaps(from, to time.Time) bool { return s.from.Before(to) && from.Before(s.to) }
+func (i interval) overlaps(from, to time.Time) bool { return i.from.Before(to) && from.Before(i.to) }
 
 // intervals holds periods by the address of an instance. It is safe for concurrent use.
 type intervals struct {
@@ -40,13 +40,13 @@
 	byInstance map[string][]interval
 }
 
-func (s *intervals) add(address string, from, to time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byInstance == nil {
-		s.byInstance = map[string][]interval{}
+func (i *intervals) add(address string, from, to time.Time) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.byInstance == nil {
+		i.byInstance = map[string][]interval{}
 	}
-	s.byInstance[address] = append(s.byInstance[address], interval{from, to})
+	i.byInstance[address] = append(i.byInstance[address], interval{from, to})
 }
 
 // evacuation is a period in which a data centre was evacuated: from the time at which the store
@@ -56,7 +56,7 @@
 	interval
 }
 
-// requestedEvacuations holds, by data centre, whether the latest acknowledged change has started or
+// requestedEvacuations has, by data centre, whether the latest acknowledged change has started or
 // ended its evacuation. The lock is held while a change is written.
 type requestedEvacuations struct {
 	mu      sync.Mutex
@@ -64,7 +64,7 @@
 }
 
 // rewriteStore writes the rules and all evacuations again. The restored store may have lost newer
-// changes and may hold older ones that were since undone.
+// changes and may contain older ones that have been undone since.
 func (s *soak) rewriteStore() {
 	if err := s.changes.Apply(); err != nil {
 		s.Progress("seed %d: the rules could not be written again: %v", s.Seed, err)
@@ -86,17 +86,17 @@
 		random := rand.New(rand.NewPCG(s.Seed, 2))
 		for sleep(stop, time.Duration(random.Int64N(int64(maxEvacuationPause)))) {
 			name := dataCentreName(random.IntN(dataCentres))
-			begun, ok := s.setEvacuated(name, true)
+			from, ok := s.setEvacuated(name, true)
 			if !ok {
 				// The evacuation may be in force nevertheless.
 				s.endEvacuation(name)
 				continue
 			}
-			expired := sleep(stop, evacuationTime)
+			elapsed := sleep(stop, evacuationPeriod)
 			to := time.Now()
 			s.endEvacuation(name)
-			list = append(list, evacuation{name, interval{begun, to}})
-			if !expired {
+			list = append(list, evacuation{name, interval{from, to}})
+			if !elapsed {
 				return
 			}
 		}
@@ -147,7 +147,7 @@
 func (s *soak) writeEvacuation(name string, inForce bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), evacuationTimeout)
 	defer cancel()
-	store := platform.NewStore(s.fleet.storeAddress)
+	store := platform.NewStore(s.deployment.storeAddress)
 	defer store.Close()
 	if err := rulestore.SetEvacuated(ctx, store, name, inForce); err != nil {
 		s.Progress("%v", err)
@@ -162,16 +162,16 @@
 func checkEvacuations(results map[string]CallResult, runs []standin.Record, evacuations []evacuation, disconnected map[string][]interval) []string {
 	var violations []string
 	for _, r := range runs {
-		begun := time.Unix(0, r.StartedAt)
+		startedAt := time.Unix(0, r.StartedAt)
 		for _, e := range evacuations {
-			if r.DataCentre != e.dataCentre || begun.Sub(e.from) <= evacuationDelay || begun.After(e.to) {
+			if r.DataCentre != e.dataCentre || startedAt.Sub(e.from) <= evacuationDelay || startedAt.After(e.to) {
 				continue
 			}
 			result := results[r.Request]
-			wasDisconnected := slices.ContainsFunc(disconnected[result.Instance], func(s interval) bool { return s.overlaps(begun.Add(-evacuationDelay), begun) })
+			wasDisconnected := slices.ContainsFunc(disconnected[result.Instance], func(i interval) bool { return i.overlaps(startedAt.Add(-evacuationDelay), startedAt) })
 			if !wasDisconnected {
 				violations = append(violations, fmt.Sprintf("%s reached %s in %s %v after the evacuation of that data centre, through %s",
-					r.Request, r.Target, r.DataCentre, begun.Sub(e.from).Round(time.Millisecond), result.Instance))
+					r.Request, r.Target, r.DataCentre, startedAt.Sub(e.from).Round(time.Millisecond), result.Instance))
 			}
 		}
 	}
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -12,7 +12,7 @@
 	"lycheehall.example/lycheehall/platform/standin"
 )
 
-// leavingDelay is how long after an instance has passed on an answer that announces a leaving target
+// leavingDelay is how long after an instance has forwarded a response that reports a leaving target
 // requests that are sent to the instance may still reach that target.
 const leavingDelay = 2 * time.Second
 
@@ -32,51 +32,51 @@
 	i.byProcess[p] = append(i.byProcess[p], time.Now())
 }
 
-// byInstance returns the interruptions of a fleet's instances by their addresses for callers.
-func (i *interruptions) byInstance(f *Fleet) map[string][]time.Time {
+// byInstance returns the interruptions of a deployment's instances by their addresses for callers.
+func (i *interruptions) byInstance(d *Deployment) map[string][]time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out := map[string][]time.Time{}
-	for n, p := range f.instances {
-		out[f.callerAddresses[n]] = slices.Clone(i.byProcess[p])
+	for n, p := range d.instances {
+		out[d.callerAddresses[n]] = slices.Clone(i.byProcess[p])
 	}
 	return out
 }
 
 const (
-	// minLeavingTime and maxLeavingTime bound the time from the announcement of a target that it is
+	// minLeavingPeriod and maxLeavingPeriod limit the time from the report of a target that it is
 	// leaving to its termination.
-	minLeavingTime = 2500 * time.Millisecond
-	maxLeavingTime = 6 * time.Second
+	minLeavingPeriod = 2500 * time.Millisecond
+	maxLeavingPeriod = 6 * time.Second
 	// maxLeavingPause is the longest time between two leaving targets.
 	maxLeavingPause = 3 * time.Second
 )
 
-// startLeaving makes one target after another announce in its answers, and nowhere else, that it is
-// leaving, and restarts it a while later. The returned function stops that. It uses a random source of
-// its own, so that it does not alter the other faults of a seed.
+// startLeaving makes one target after another report in its responses, and nowhere else, that it is
+// leaving, and restarts it a while later. The returned function stops that. It uses a random generator
+// of its own, so that it does not alter the other faults of a seed.
 func (s *soak) startLeaving() (finish func()) {
 	return runInBackground(func(stop <-chan struct{}) {
 		random := rand.New(rand.NewPCG(s.Seed, 1))
 		for sleep(stop, time.Duration(random.Int64N(int64(maxLeavingPause)))) {
-			n := random.IntN(len(s.fleet.targets))
-			s.announceLeaving(n)
-			time.Sleep(minLeavingTime + time.Duration(random.Int64N(int64(maxLeavingTime-minLeavingTime))))
-			s.restart(s.fleet.targets[n])
+			n := random.IntN(len(s.deployment.targets))
+			s.setLeaving(n)
+			time.Sleep(minLeavingPeriod + time.Duration(random.Int64N(int64(maxLeavingPeriod-minLeavingPeriod))))
+			s.restart(s.deployment.targets[n])
 		}
 	})
 }
 
-// announceLeaving makes target n announce that it is leaving, if it can be reached.
-func (s *soak) announceLeaving(n int) {
+// setLeaving makes target n report that it is leaving, if it can be reached.
+func (s *soak) setLeaving(n int) {
 	client := http.Client{Timeout: startTimeout}
-	resp, err := client.Post("http://"+s.fleet.targetAddresses[n]+"/standin/leave", "", nil)
+	resp, err := client.Post("http://"+s.deployment.targetAddresses[n]+"/standin/leave", "", nil)
 	if err != nil {
 		// The target is down or paused by another fault.
 		return
 	}
 	resp.Body.Close()
-	s.Progress("seed %d: %s announces that it is leaving", s.Seed, s.fleet.targets[n].name)
+	s.Progress("seed %d: %s reports that it is leaving", s.Seed, s.deployment.targets[n].name)
 }
 
 // restart terminates a process, waits until it has exited and starts it again.
@@ -89,31 +89,31 @@
 	}
 }
 
-// instanceTarget is the address of an instance and one process of a target.
-type instanceTarget struct{ instance, target string }
+// instanceAndTarget is the address of an instance and one process of a target.
+type instanceAndTarget struct{ instance, target string }
 
 // checkLeaving finds runs at a target that began from a request sent to an instance more than
-// leavingDelay after that instance had passed on the announcement that the target is leaving. An
-// instance that was interrupted in between is excused: a restarted one has forgotten the announcement,
+// leavingDelay after that instance had forwarded the report that the target is leaving. A run through
+// an instance that was interrupted in between is not counted: a restarted one no longer has the report,
 // and a paused one could not act in time.
 func checkLeaving(results map[string]CallResult, runs []standin.Record, interrupted map[string][]time.Time) []string {
-	announced := map[instanceTarget]time.Time{}
+	reported := map[instanceAndTarget]time.Time{}
 	for _, r := range runs {
 		result, known := results[r.Request]
-		pair := instanceTarget{result.Instance, r.Target}
-		if at, found := announced[pair]; known && result.Leaving && (!found || result.Received.Before(at)) {
-			announced[pair] = result.Received
+		pair := instanceAndTarget{result.Instance, r.Target}
+		if at, found := reported[pair]; known && result.Leaving && (!found || result.Received.Before(at)) {
+			reported[pair] = result.Received
 		}
 	}
 	var violations []string
 	for _, r := range runs {
 		result := results[r.Request]
-		at, known := announced[instanceTarget{result.Instance, r.Target}]
+		at, known := reported[instanceAndTarget{result.Instance, r.Target}]
 		if !known || result.Sent.Sub(at) <= leavingDelay {
 			continue
 		}
 		if !anyBetween(interrupted[result.Instance], at, result.Sent) {
-			violations = append(violations, fmt.Sprintf("%s was sent to %s %v after that instance had passed on that %s is leaving, but reached that target",
+			violations = append(violations, fmt.Sprintf("%s was sent to %s %v after that instance had forwarded the report that %s is leaving, but reached that target",
 				r.Request, result.Instance, result.Sent.Sub(at).Round(time.Millisecond), r.Target))
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Fault is what a proxy does to the connections that pass through it.
-type Fault string
+// ProxyFault is what a proxy does to the connections that pass through it.
+type ProxyFault string
 
 // The faults of a proxy. Callers are the side that connects to the proxy.
 const (
 	// NoFault forwards everything.
-	NoFault Fault = "sound"
+	NoFault ProxyFault = "sound"
 	// Delayed forwards everything after a delay of proxyDelay.
-	Delayed Fault = "delayed"
+	Delayed ProxyFault = "delayed"
 	// Reset resets open connections and each new one at once.
-	Reset Fault = "reset"
+	Reset ProxyFault = "reset"
 	// Stalled forwards nothing and closes nothing.
-	Stalled Fault = "silent"
+	Stalled ProxyFault = "silent"
 	// OneWay forwards what callers send and nothing in the other direction.
-	OneWay Fault = "one-way"
+	OneWay ProxyFault = "one-way"
 )
 
-// proxyDelay is how long a proxy with the fault Delayed holds each piece of data back.
+// proxyDelay is how long a proxy with the fault Delayed waits before it forwards data.
 const proxyDelay = 150 * time.Millisecond
 
 // Proxy forwards TCP connections to an address. It is safe for concurrent use.
@@ -34,7 +34,7 @@
 
 	mu     sync.Mutex
 	target string
-	fault  Fault
+	fault  ProxyFault
 	// changed is closed and replaced when the fault changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
@@ -62,7 +62,7 @@
 }
 
 // SetFault changes the fault, also for open connections.
-func (p *Proxy) SetFault(f Fault) {
+func (p *Proxy) SetFault(f ProxyFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -70,7 +70,7 @@
 	p.changed = make(chan struct{})
 	if f == Reset {
 		for c := range p.conns {
-			reset(c)
+			closeWithReset(c)
 		}
 		clear(p.conns)
 	}
@@ -82,8 +82,8 @@
 	p.SetFault(Reset)
 }
 
-// reset closes a connection with a TCP reset.
-func reset(c net.Conn) {
+// closeWithReset closes a connection with a TCP reset.
+func closeWithReset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -101,7 +101,7 @@
 }
 
 // state returns the fault, the target address, and a channel that is closed when the fault changes.
-func (p *Proxy) state() (Fault, string, <-chan struct{}) {
+func (p *Proxy) state() (ProxyFault, string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault, p.target, p.changed
@@ -111,12 +111,12 @@
 func (p *Proxy) forward(caller net.Conn) {
 	fault, target, _ := p.state()
 	if fault == Reset {
-		reset(caller)
+		closeWithReset(caller)
 		return
 	}
 	server, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		reset(caller)
+		closeWithReset(caller)
 		return
 	}
 	p.mu.Lock()
@@ -133,15 +133,15 @@
 }
 
 // forwardDirection forwards one direction until it ends, and then closes or resets the other side in
-// the same way. fromServer tells which direction it is.
+// the same way. fromServer says which direction it is.
 func (p *Proxy) forwardDirection(to, from net.Conn, fromServer bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.awaitPassage(fromServer)
+		p.awaitForwarding(fromServer)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
-				reset(from)
+				closeWithReset(from)
 				return
 			}
 		}
@@ -152,14 +152,14 @@
 			return
 		}
 		if err != nil {
-			reset(to)
+			closeWithReset(to)
 			return
 		}
 	}
 }
 
-// awaitPassage waits while the fault holds data of a direction back.
-func (p *Proxy) awaitPassage(fromServer bool) {
+// awaitForwarding waits until the fault allows data of a direction to be forwarded.
+func (p *Proxy) awaitForwarding(fromServer bool) {
 	for {
 		fault, _, changed := p.state()
 		switch {
--- a/soak/rulechanges.go
+++ b/soak/rulechanges.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// versionPath is a path whose requests are answered with the version of the rules that decided them.
+	// versionPath is a path whose requests are answered with the version of the rules that matched them.
 	versionPath = "/soak-version"
-	// maxFillerRules bounds the number of rules that are added to the example rules. Each version has a
-	// random number of them.
+	// maxFillerRules limits the number of rules that are added to the example rules. Each version has a
+	// random number of them, less than this.
 	maxFillerRules = 400
 	// maxChangePause is the longest time between two changes of the rules. pollInterval is the time
-	// between two requests for the version that an instance follows.
+	// between two requests for the version that an instance applies.
 	maxChangePause = 700 * time.Millisecond
 	pollInterval   = 100 * time.Millisecond
-	// pollTimeout bounds such a request.
+	// pollTimeout limits the wait for the response to such a request.
 	pollTimeout = 500 * time.Millisecond
 )
 
 // RuleChanges repeatedly puts a new version of the rules in force and polls which version each
-// instance follows. A process must not go back to an older version.
+// instance applies. A process must not return to an older version.
 type RuleChanges struct {
-	fleet   *Fleet
-	http    *http.Client
-	stop    chan struct{}
-	running sync.WaitGroup
+	deployment *Deployment
+	http       *http.Client
+	stop       chan struct{}
+	running    sync.WaitGroup
 
-	// random is the source of the changes. applying is held while a change is made.
+	// random generates the content of the changes. applying is held while a change is made.
 	applying sync.Mutex
 	random   *rand.Rand
 
@@ -48,15 +48,15 @@
 	violations   []string
 }
 
-// StartRuleChanges changes the rules of a fleet until Stop is called. It uses random sources of its
-// own, so that it does not alter the faults of a seed.
-func StartRuleChanges(f *Fleet, seed uint64) (*RuleChanges, error) {
-	c := &RuleChanges{fleet: f, http: &http.Client{Timeout: pollTimeout}, stop: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 1))}
+// StartRuleChanges changes the rules of a deployment until Stop is called. It uses random generators
+// of its own, so that it does not alter the faults of a seed.
+func StartRuleChanges(d *Deployment, seed uint64) (*RuleChanges, error) {
+	c := &RuleChanges{deployment: d, http: &http.Client{Timeout: pollTimeout}, stop: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 1))}
 	if err := c.Apply(); err != nil {
 		return nil, err
 	}
 	c.running.Go(func() { c.applyRepeatedly(rand.New(rand.NewPCG(seed, 5))) })
-	for i := range f.instances {
+	for i := range d.instances {
 		c.running.Go(func() { c.watchInstance(i) })
 	}
 	return c, nil
@@ -103,7 +103,7 @@
 	defer c.applying.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	store := platform.NewStore(c.fleet.storeAddress)
+	store := platform.NewStore(c.deployment.storeAddress)
 	defer store.Close()
 	for {
 		current, err := rulestore.Current(ctx, store)
@@ -116,7 +116,7 @@
 		next = max(next, current.Version+1)
 		version, err := rulestore.Apply(ctx, store, current.Version, rulestore.Record{Version: next, Author: "soak", Text: rulesText(next, c.random)})
 		if errors.Is(err, rulestore.ErrConflict) {
-			// The store was restored from a copy after its version was read.
+			// The store was restored from a backup after its version was read.
 			continue
 		}
 		if err != nil {
@@ -140,27 +140,27 @@
 	return b.String() + examples.Rules
 }
 
-// watchInstance polls the version that instance i follows, and records a violation when the same
-// process goes back to an older one.
+// watchInstance polls the version that instance i applies, and records a violation when the same
+// process returns to an older one.
 func (c *RuleChanges) watchInstance(i int) {
-	p := c.fleet.instances[i]
+	p := c.deployment.instances[i]
 	lastPID, lastVersion := 0, uint64(0)
 	for c.sleep(pollInterval) {
 		pid := p.pid()
-		version, err := c.followedVersion(c.fleet.callerAddresses[i])
+		version, err := c.appliedVersion(c.deployment.callerAddresses[i])
 		if err != nil || pid != p.pid() {
-			// The instance is down, unreachable or was restarted: which version it follows is unknown.
+			// The instance is down, unreachable or was restarted: which version it applies is unknown.
 			continue
 		}
 		if pid == lastPID && version < lastVersion {
-			c.violation("%s went back from version %d of the rules to %d", p.name, lastVersion, version)
+			c.violation("%s returned from version %d of the rules to %d", p.name, lastVersion, version)
 		}
 		lastPID, lastVersion = pid, version
 	}
 }
 
-// followedVersion requests the version that an instance follows.
-func (c *RuleChanges) followedVersion(address string) (uint64, error) {
+// appliedVersion requests the version that an instance applies.
+func (c *RuleChanges) appliedVersion(address string) (uint64, error) {
 	resp, err := c.http.Get("http://" + address + versionPath)
 	if err != nil {
 		return 0, err
@@ -172,27 +172,27 @@
 	}
 	_, number, found := strings.Cut(string(body), "version-")
 	if !found {
-		return 0, errors.New("soak: the response names no version")
+		return 0, errors.New("soak: the response contains no version")
 	}
 	var version uint64
 	_, err = fmt.Sscan(number, &version)
 	return version, err
 }
 
-// awaitNewest waits until every instance follows the newest acknowledged version.
-func (c *RuleChanges) awaitNewest() error {
+// awaitNewestVersion waits until every instance applies the newest acknowledged version.
+func (c *RuleChanges) awaitNewestVersion() error {
 	c.mu.Lock()
 	newest := c.acknowledged
 	c.mu.Unlock()
 	deadline := time.Now().Add(settleTimeout)
-	for i, address := range c.fleet.callerAddresses {
+	for i, address := range c.deployment.callerAddresses {
 		for {
-			version, err := c.followedVersion(address)
+			version, err := c.appliedVersion(address)
 			if err == nil && version == newest {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("recovery: instance %d follows version %d of the rules, not %d (%v)", i+1, version, newest, err)
+				return fmt.Errorf("recovery: instance %d applies version %d of the rules, not %d (%v)", i+1, version, newest, err)
 			}
 			time.Sleep(pollInterval)
 		}
--- a/soak/rulechanges_test.go
+++ b/soak/rulechanges_test.go
@@ -27,8 +27,8 @@
 		Expect(p.start()).To(Succeed())
 		defer func() { p.awaitExit(0) }()
 		c := &RuleChanges{
-			fleet: &Fleet{instances: []*process{p}, callerAddresses: []string{server.Listener.Addr().String()}},
-			http:  server.Client(), stop: make(chan struct{}),
+			deployment: &Deployment{instances: []*process{p}, callerAddresses: []string{server.Listener.Addr().String()}},
+			http:       server.Client(), stop: make(chan struct{}),
 		}
 		c.running.Go(func() { c.watchInstance(0) })
 		time.Sleep(3 * pollInterval)
@@ -41,7 +41,7 @@
 		return c.Stop()
 	}
 
-	It("finds a process that goes back to an older version", func() {
+	It("finds a process that returns to an older version", func() {
 		Expect(watch(5, 4, false)).NotTo(BeEmpty())
 	})
 
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -36,25 +36,25 @@
 }
 
 const (
-	// settleTimeout bounds the wait until everything is served, at the start and after the faults. It
+	// settleTimeout limits the wait until everything is served, at the start and after the faults. It
 	// covers the longest hold of a grant of keys, a change of the leader and the start of a process.
 	settleTimeout = 25 * time.Second
 	// maxFaultPause is the longest time between two faults.
 	maxFaultPause = 900 * time.Millisecond
-	// stopTimeout bounds the wait for a terminated process to exit before it is killed.
+	// stopTimeout limits the wait for a terminated process to exit before it is killed.
 	stopTimeout = 10 * time.Second
 )
 
 // soak is a run in progress.
 type soak struct {
 	Options
-	fleet   *Fleet
-	callers *Callers
-	changes *RuleChanges
-	random  *rand.Rand
-	// pendingEnds counts the faults that have not ended yet.
-	pendingEnds sync.WaitGroup
-	faults      int
+	deployment *Deployment
+	callers    *Callers
+	changes    *RuleChanges
+	random     *rand.Rand
+	// unfinishedFaults counts the faults that have not ended yet.
+	unfinishedFaults sync.WaitGroup
+	faults           int
 	// interrupted has the times of faults of processes.
 	interrupted interruptions
 	// disconnected has the periods in which instances were not running or could not reach the store
@@ -66,21 +66,21 @@
 
 // Run runs one seed and returns what it has found. An error means that the run itself failed.
 func Run(o Options) (*Result, error) {
-	fleet, err := NewFleet(o.ProgramDir, o.Dir, o.DeploymentOptions)
-	defer fleet.Stop()
+	deployment, err := NewDeployment(o.ProgramDir, o.Dir, o.DeploymentOptions)
+	defer deployment.Stop()
 	if err != nil {
 		return nil, err
 	}
-	store := platform.NewStore(fleet.storeAddress)
+	store := platform.NewStore(deployment.storeAddress)
 	if _, err := rulestore.Apply(context.Background(), store, 0, rulestore.Record{Author: "soak", Text: examples.Rules}); err != nil {
 		return nil, err
 	}
-	s := &soak{Options: o, fleet: fleet, callers: NewCallers(fleet.callerAddresses), random: rand.New(rand.NewPCG(o.Seed, 0))}
+	s := &soak{Options: o, deployment: deployment, callers: NewCallers(deployment.callerAddresses), random: rand.New(rand.NewPCG(o.Seed, 0))}
 	if err := s.awaitServed("start"); err != nil {
 		s.callers.Finish()
 		return nil, err
 	}
-	changes, err := StartRuleChanges(fleet, o.Seed)
+	changes, err := StartRuleChanges(deployment, o.Seed)
 	if err != nil {
 		s.callers.Finish()
 		return nil, err
@@ -91,28 +91,28 @@
 	stopLimits := s.startLimits()
 	stopStoreRestores := s.startStoreRestores()
 	s.injectFaults()
-	s.pendingEnds.Wait()
+	s.unfinishedFaults.Wait()
 	stopStoreRestores()
 	stopLimits()
 	stopLeaving()
 	evacuated := stopEvacuations()
 	result := &Result{Faults: s.faults, Violations: changes.Stop()}
-	for _, err := range []error{s.awaitServed("recovery"), changes.awaitNewest()} {
+	for _, err := range []error{s.awaitServed("recovery"), changes.awaitNewestVersion()} {
 		if err != nil {
 			result.Violations = append(result.Violations, err.Error())
 		}
 	}
 	result.Counts = s.callers.Count()
 	results := s.callers.Finish()
-	runs, err := fleet.Runs()
+	runs, err := deployment.Runs()
 	if err != nil {
 		return nil, err
 	}
 	result.Violations = append(result.Violations, Check(results, runs)...)
-	result.Violations = append(result.Violations, checkLeaving(results, runs, s.interrupted.byInstance(fleet))...)
+	result.Violations = append(result.Violations, checkLeaving(results, runs, s.interrupted.byInstance(deployment))...)
 	result.Violations = append(result.Violations, checkEvacuations(results, runs, evacuated, s.disconnected.byInstance)...)
 	result.Violations = append(result.Violations, checkColdRate(runs)...)
-	result.Violations = append(result.Violations, checkLimits(results, runs, s.interrupted.byInstance(fleet))...)
+	result.Violations = append(result.Violations, checkLimits(results, runs, s.interrupted.byInstance(deployment))...)
 	return result, nil
 }
 
@@ -128,19 +128,19 @@
 	}
 }
 
-// awaitServed waits until every instance has served every key. when is the phase of the run, which is
-// part of the request ids and of the error.
-func (s *soak) awaitServed(when string) error {
+// awaitServed waits until every instance has served every key. The phase of the run is part of the
+// request IDs and of the error.
+func (s *soak) awaitServed(phase string) error {
 	deadline := time.Now().Add(settleTimeout)
-	for n, address := range s.fleet.callerAddresses {
-		for key := 0; key < callerKeys; {
-			id := fmt.Sprintf("%s-%d-%d-%d", when, n, key, time.Now().UnixNano())
+	for n, address := range s.deployment.callerAddresses {
+		for key := 0; key < keyCount; {
+			id := fmt.Sprintf("%s-%d-%d-%d", phase, n, key, time.Now().UnixNano())
 			if s.callers.Call(address, id, key, false).Outcome == Answered {
 				key++
 				continue
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s: instance %d does not serve household %d after %v", when, n+1, key, settleTimeout)
+				return fmt.Errorf("%s: instance %d does not serve key %d after %v", phase, n+1, key, settleTimeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -166,7 +166,7 @@
 
 // scheduleEnd ends a fault after a delay.
 func (s *soak) scheduleEnd(d time.Duration, end func()) {
-	s.pendingEnds.Go(func() {
+	s.unfinishedFaults.Go(func() {
 		time.Sleep(d)
 		end()
 	})
@@ -174,8 +174,8 @@
 
 // injectFault injects one random fault and returns its description.
 func (s *soak) injectFault() string {
-	instance := s.fleet.instances[s.random.IntN(len(s.fleet.instances))]
-	target := s.fleet.targets[s.random.IntN(len(s.fleet.targets))]
+	instance := s.deployment.instances[s.random.IntN(len(s.deployment.instances))]
+	target := s.deployment.targets[s.random.IntN(len(s.deployment.targets))]
 	switch s.random.IntN(9) {
 	case 0:
 		return s.kill(instance)
@@ -190,11 +190,11 @@
 	case 5:
 		return s.terminate(target)
 	case 6:
-		return s.disruptConnections("store of one instance", s.fleet.storeProxies[s.random.IntN(len(s.fleet.storeProxies))])
+		return s.disruptConnections("store of one instance", s.deployment.storeProxies[s.random.IntN(len(s.deployment.storeProxies))])
 	case 7:
-		return s.disruptConnections("store of all instances", s.fleet.storeProxies...)
+		return s.disruptConnections("store of all instances", s.deployment.storeProxies...)
 	}
-	return s.disruptConnections("a target", s.fleet.targetProxies[s.random.IntN(len(s.fleet.targetProxies))])
+	return s.disruptConnections("a target", s.deployment.targetProxies[s.random.IntN(len(s.deployment.targetProxies))])
 }
 
 // scheduleRestart starts a process again after a random delay, once it has exited.
@@ -213,11 +213,11 @@
 // markDisconnected records that a process, if it is an instance, is disconnected from now until the
 // returned function is called.
 func (s *soak) markDisconnected(p *process) (reconnected func()) {
-	n := slices.Index(s.fleet.instances, p)
-	begun := time.Now()
+	n := slices.Index(s.deployment.instances, p)
+	start := time.Now()
 	return func() {
 		if n >= 0 {
-			s.disconnected.add(s.fleet.callerAddresses[n], begun, time.Now())
+			s.disconnected.add(s.deployment.callerAddresses[n], start, time.Now())
 		}
 	}
 }
@@ -251,12 +251,12 @@
 
 // disruptConnections sets a random fault on proxies for a random time.
 func (s *soak) disruptConnections(what string, proxies ...*Proxy) string {
-	fault := []Fault{Delayed, Reset, Stalled, OneWay}[s.random.IntN(4)]
+	fault := []ProxyFault{Delayed, Reset, Stalled, OneWay}[s.random.IntN(4)]
 	var reconnected []func()
 	for _, p := range proxies {
 		p.SetFault(fault)
-		if n := slices.Index(s.fleet.storeProxies, p); n >= 0 {
-			reconnected = append(reconnected, s.markDisconnected(s.fleet.instances[n]))
+		if n := slices.Index(s.deployment.storeProxies, p); n >= 0 {
+			reconnected = append(reconnected, s.markDisconnected(s.deployment.instances[n]))
 		}
 	}
 	s.scheduleEnd(s.randomUpTo(6*time.Second), func() {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -32,7 +32,7 @@
 	cause string
 }{
 	{1796249298, "an instance could not listen: its port was assigned to an outgoing connection"},
-	{1796249324, "the same"},
+	{1796249324, "an instance could not listen: its port was assigned to an outgoing connection"},
 }
 
 // buildPrograms builds the programs of a deployment and returns their directory.
@@ -45,10 +45,10 @@
 }
 
 // runSeed runs one seed with three instances and three targets.
-func runSeed(programs string, seed uint64, length time.Duration, plant string) *Result {
+func runSeed(programs string, seed uint64, length time.Duration, injectedFault string) *Result {
 	GinkgoHelper()
 	result, err := Run(Options{
-		Seed: seed, DeploymentOptions: DeploymentOptions{Instances: 3, Targets: 3, InjectedFault: plant}, Length: length,
+		Seed: seed, DeploymentOptions: DeploymentOptions{Instances: 3, Targets: 3, InjectedFault: injectedFault}, Length: length,
 		ProgramDir: programs, Dir: GinkgoT().TempDir(),
 		Progress: func(format string, args ...any) { GinkgoWriter.Printf(format+"\n", args...) },
 	})
@@ -63,9 +63,8 @@
 		Expect(result.Counts[Answered]).To(BeNumerically(">", 200))
 	})
 
-	// Guards against an instance that does not serve, with "address in use" in its log: a port from the
-	// range for outgoing connections was chosen, and the system assigned it to a connection before the
-	// instance started.
+	// Guards against a port that the system assigns to an outgoing connection before the process listens
+	// on it. The process then does not serve, with "address in use" in its log.
 	It("chooses ports that are not assigned to outgoing connections", func() {
 		seen := map[string]bool{}
 		for range 200 {
@@ -79,9 +78,9 @@
 		}
 	})
 
-	// Guards against processes that still run minutes after the soak: a target was killed, and terminated
-	// before it had been restarted. Both faults started it, and the second process replaced the record
-	// of the first one, which ran on.
+	// Guards against processes that still run after the soak: when two faults overlap, such as a kill and
+	// a termination of a target that has not been restarted yet, both restart the process, and the first
+	// of the two new processes is never ended.
 	It("starts a process once when two faults overlap", func() {
 		p := &process{name: "sleep", path: "/bin/sleep", args: []string{"60"}}
 		Expect(p.start()).To(Succeed())
@@ -103,19 +102,19 @@
 		}
 	})
 
-	It("finds a deliberate defect in real processes", func() {
+	It("finds an injected fault of real processes", func() {
 		Expect(runSeed(buildPrograms(), 7, time.Second, string(standin.RecordTwice)).Violations).NotTo(BeEmpty())
 	})
 })
 
 var _ = Describe("the check of requests", func() {
-	run := func(id string, key int, fence uint64, begun int64) standin.Record {
-		return standin.Record{Request: id, Target: "t", Key: key, Fence: fence, StartedAt: begun}
+	run := func(id string, key int, fence uint64, startedAt int64) standin.Record {
+		return standin.Record{Request: id, Target: "t", Key: key, Fence: fence, StartedAt: startedAt}
 	}
 
 	It("accepts results that keep the guarantees", func() {
 		results := map[string]CallResult{
-			"a": {Outcome: Answered, OwnAnswer: true}, "b": {Outcome: NotRun}, "c": {Outcome: Unknown}, "d": {Outcome: Answered, OwnAnswer: true, Idempotent: true},
+			"a": {Outcome: Answered, OwnResponse: true}, "b": {Outcome: NotExecuted}, "c": {Outcome: Unknown}, "d": {Outcome: Answered, OwnResponse: true, Idempotent: true},
 		}
 		runs := []standin.Record{run("a", 1, 1, 1), run("c", 1, 1, 2), run("d", 1, 2, 3), run("d", 1, 2, 4)}
 		Expect(Check(results, runs)).To(BeEmpty())
@@ -126,38 +125,38 @@
 			Expect(Check(map[string]CallResult{"a": t}, runs)).To(ContainElement(ContainSubstring(want)))
 		},
 		Entry("a second run", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 1, 1), run("a", 1, 1, 2)}, "ran 2 times"),
-		Entry("a run of a request refused as not run", CallResult{Outcome: NotRun, Status: 503}, []standin.Record{run("a", 1, 1, 1)}, "refused as not run"),
-		Entry("an answer without a run", CallResult{Outcome: Answered, OwnAnswer: true}, nil, "did not run"),
-		Entry("an answer to another request", CallResult{Outcome: Answered}, []standin.Record{run("a", 1, 1, 1)}, "not its own"),
-		Entry("a restarted target with the fence of its former process", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 1, 1), {Request: "x", Target: "again", Key: 1, Fence: 1, StartedAt: 2}}, "under fence 1 after"),
-		Entry("a former owner that begins work after the next one", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 2, 1), run("x", 1, 1, 2)}, "under fence 1 after"),
+		Entry("a run of a request refused as not executed", CallResult{Outcome: NotExecuted, Status: 503}, []standin.Record{run("a", 1, 1, 1)}, "refused as not executed"),
+		Entry("a response without a run", CallResult{Outcome: Answered, OwnResponse: true}, nil, "did not run"),
+		Entry("a response to another request", CallResult{Outcome: Answered}, []standin.Record{run("a", 1, 1, 1)}, "not its own"),
+		Entry("a restarted target with the fence of its previous process", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 1, 1), {Request: "x", Target: "again", Key: 1, Fence: 1, StartedAt: 2}}, "under fence 1 after"),
+		Entry("a previous owner that begins work after the next one", CallResult{Outcome: Unknown}, []standin.Record{run("a", 1, 2, 1), run("x", 1, 1, 2)}, "under fence 1 after"),
 	)
 })
 
 var _ = Describe("the check of leaving targets", func() {
 	start := time.Unix(1000, 0)
-	// announced is a request whose answer announces that the target is leaving. later returns a request
-	// that is sent a time d after that answer.
-	announced := CallResult{Outcome: Answered, Instance: "i1", Sent: start, Received: start.Add(10 * time.Millisecond), Leaving: true}
+	// reported is a request whose response reports that the target is leaving. later returns a request
+	// that is sent a time d after that response.
+	reported := CallResult{Outcome: Answered, Instance: "i1", Sent: start, Received: start.Add(10 * time.Millisecond), Leaving: true}
 	later := func(instance string, d time.Duration) CallResult {
-		return CallResult{Outcome: Unknown, Instance: instance, Sent: announced.Received.Add(d)}
+		return CallResult{Outcome: Unknown, Instance: instance, Sent: reported.Received.Add(d)}
 	}
 	runs := []standin.Record{{Request: "a", Target: "t started 1"}, {Request: "b", Target: "t started 1"}}
 
 	DescribeTable("depends on the instance and on the time of the second request", func(second CallResult, interrupted map[string][]time.Time, violations int) {
-		Expect(checkLeaving(map[string]CallResult{"a": announced, "b": second}, runs, interrupted)).To(HaveLen(violations))
+		Expect(checkLeaving(map[string]CallResult{"a": reported, "b": second}, runs, interrupted)).To(HaveLen(violations))
 	},
 		Entry("within the allowed delay", later("i1", leavingDelay), nil, 0),
 		Entry("after the allowed delay", later("i1", leavingDelay+time.Millisecond), nil, 1),
 		Entry("through another instance", later("i2", time.Hour), nil, 0),
 		Entry("after the instance was interrupted", later("i1", 3*time.Second), map[string][]time.Time{"i1": {start.Add(time.Second)}}, 0),
 		Entry("after another instance was interrupted", later("i1", 3*time.Second), map[string][]time.Time{"i2": {start.Add(time.Second)}}, 1),
-		Entry("after an interruption before the announcement", later("i1", 3*time.Second), map[string][]time.Time{"i1": {start}}, 1),
+		Entry("after an interruption before the report", later("i1", 3*time.Second), map[string][]time.Time{"i1": {start}}, 1),
 	)
 
 	It("accepts requests to the target once it has been restarted", func() {
 		again := []standin.Record{runs[0], {Request: "b", Target: "t started 2"}}
-		Expect(checkLeaving(map[string]CallResult{"a": announced, "b": later("i1", time.Hour)}, again, nil)).To(BeEmpty())
+		Expect(checkLeaving(map[string]CallResult{"a": reported, "b": later("i1", time.Hour)}, again, nil)).To(BeEmpty())
 	})
 })
 
@@ -198,18 +197,18 @@
 	}
 
 	DescribeTable("applies a fault to an open connection until the fault ends",
-		func(f Fault, survives bool) {
+		func(fault ProxyFault, survives bool) {
 			p, err := NewProxy()
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(p.Close)
 			p.SetTarget(startEchoServer())
 			conn := dial(p)
 			Expect(exchange(conn)).To(Succeed())
-			p.SetFault(f)
-			if f == Delayed {
-				begun := time.Now()
+			p.SetFault(fault)
+			if fault == Delayed {
+				start := time.Now()
 				Expect(exchange(conn)).To(Or(Succeed(), HaveOccurred()))
-				Expect(time.Since(begun)).To(BeNumerically(">=", proxyDelay))
+				Expect(time.Since(start)).To(BeNumerically(">=", proxyDelay))
 			} else {
 				Expect(exchange(conn)).NotTo(Succeed())
 			}
@@ -232,8 +231,8 @@
 var _ = Describe("the check of limits", func() {
 	start := time.Unix(1000, 0)
 	const perSecond = 2.0
-	// violations returns those found for a target that announces a limit and gets rate requests a second
-	// through the instances in turn. Each instance learns the limit with its first request.
+	// violations returns those found for a target that reports a limit and gets rate requests a second
+	// through the instances in turn. Each instance receives the limit with its first response.
 	violations := func(rate int, interrupted map[string][]time.Time, instances ...string) []string {
 		results := map[string]CallResult{}
 		var runs []standin.Record
@@ -252,7 +251,7 @@
 		Expect(violations(6, nil, "i1", "i2")).To(HaveLen(1))
 	})
 
-	It("ignores an instance that was interrupted after it had learned the limit", func() {
+	It("ignores an instance that was interrupted after it had received the limit", func() {
 		all := map[string][]time.Time{}
 		for n := range 80 {
 			all["i1"] = append(all["i1"], start.Add(time.Duration(n)*100*time.Millisecond))
@@ -263,8 +262,8 @@
 })
 
 var _ = Describe("a caller", func() {
-	// Guards against a result that is taken for that of another attempt: the HTTP client retried a
-	// look-up by itself when an idle connection broke.
+	// Guards against a result that is taken for that of another attempt: the HTTP client retries a
+	// look-up by itself when an idle connection breaks.
 	It("sends each request once, also when an idle connection breaks", func() {
 		var mu sync.Mutex
 		got := map[string]int{}
--- a/soak/storerestores.go
+++ b/soak/storerestores.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// minBackupAge and maxBackupAge bound the age of the copy when the store outage begins.
+	// minBackupAge and maxBackupAge limit the age of the backup when the store outage begins.
 	minBackupAge = 300 * time.Millisecond
 	maxBackupAge = 4 * time.Second
-	// maxStoreOutage is the longest time for which the store is then unavailable.
+	// maxStoreOutage is the longest outage before a restore.
 	maxStoreOutage = 3 * time.Second
-	// minRestorePause and maxRestorePause bound the time between two restores.
+	// minRestorePause and maxRestorePause limit the time between two restores.
 	minRestorePause = 2 * time.Second
 	maxRestorePause = 7 * time.Second
 )
 
-// startStoreRestores repeatedly makes the store unavailable for a moment and restores it from a copy.
-// Rules and evacuations are written again, as operators would do; instances and targets write their own
-// entries again. The returned function stops that. It uses a random source of its own.
+// startStoreRestores repeatedly makes the store unavailable for a moment and restores it from a
+// backup. Rules and evacuations are written again, as operators would do; instances and targets write
+// their own entries again. The returned function stops that. It uses a random generator of its own.
 func (s *soak) startStoreRestores() (finish func()) {
 	return runInBackground(func(stop <-chan struct{}) {
 		random := rand.New(rand.NewPCG(s.Seed, 4))
@@ -34,7 +34,7 @@
 			s.postToStore("/standin/come-back")
 			s.rewriteStore()
 			reconnect()
-			s.Progress("seed %d: the store was restored from a copy", s.Seed)
+			s.Progress("seed %d: the store was restored from a backup", s.Seed)
 		}
 	})
 }
@@ -42,7 +42,7 @@
 // postToStore posts to a control path of the store's stand-in.
 func (s *soak) postToStore(path string) {
 	client := http.Client{Timeout: startTimeout}
-	resp, err := client.Post("http://"+s.fleet.storeAddress+path, "", nil)
+	resp, err := client.Post("http://"+s.deployment.storeAddress+path, "", nil)
 	if err != nil {
 		s.Progress("seed %d: post %s to the store: %v", s.Seed, path, err)
 		return
@@ -54,12 +54,12 @@
 // called.
 func (s *soak) cutOffStore() (reconnect func()) {
 	var reconnected []func()
-	for n, p := range s.fleet.storeProxies {
+	for n, p := range s.deployment.storeProxies {
 		p.SetFault(Stalled)
-		reconnected = append(reconnected, s.markDisconnected(s.fleet.instances[n]))
+		reconnected = append(reconnected, s.markDisconnected(s.deployment.instances[n]))
 	}
 	return func() {
-		for _, p := range s.fleet.storeProxies {
+		for _, p := range s.deployment.storeProxies {
 			p.SetFault(NoFault)
 		}
 		for _, done := range reconnected {
