--- a/cmd/lycheehall-soak/main.go
+++ b/cmd/lycheehall-soak/main.go
@@ -15,15 +15,15 @@
 
 // options holds the values of all flags.
 type options struct {
-	programDir string
-	dir        string
-	firstSeed  uint64
-	count      int
-	length     time.Duration
-	instances  int
-	targets    int
-	defect     string
-	quiet      bool
+	programDir    string
+	dir           string
+	firstSeed     uint64
+	count         int
+	length        time.Duration
+	instances     int
+	targets       int
+	injectedFault string
+	quiet         bool
 }
 
 func main() {
@@ -37,7 +37,7 @@
 	flaggy.Duration(&o.length, "l", "length", "How long to inject faults for each seed.")
 	flaggy.Int(&o.instances, "", "instances", "Number of instances.")
 	flaggy.Int(&o.targets, "", "targets", "Number of targets.")
-	flaggy.String(&o.defect, "", "plant", "Deliberate defect of the targets, which the checks must find: twice, denied, foreign or fence.")
+	flaggy.String(&o.injectedFault, "", "plant", "Injected fault of the targets, which the checks must find: twice, denied, foreign or fence.")
 	flaggy.Bool(&o.quiet, "q", "quiet", "Print only results, not progress.")
 	flaggy.Parse()
 	failed := 0
@@ -65,7 +65,7 @@
 		}
 	}
 	result, err := soak.Run(soak.Options{
-		Seed: seed, DeploymentOptions: soak.DeploymentOptions{Instances: o.instances, Targets: o.targets, InjectedFault: o.defect},
+		Seed: seed, DeploymentOptions: soak.DeploymentOptions{Instances: o.instances, Targets: o.targets, InjectedFault: o.injectedFault},
 		Length: o.length, ProgramDir: o.programDir, Dir: dir, Progress: progress,
 	})
 	if err != nil {
@@ -73,8 +73,8 @@
 		return false
 	}
 	fmt.Printf("seed %d: %d faults, %v, %d violations\n", seed, result.Faults, result.Counts, len(result.Violations))
-	for _, w := range result.Violations[:min(len(result.Violations), 10)] {
-		fmt.Println("  ", w)
+	for _, v := range result.Violations[:min(len(result.Violations), 10)] {
+		fmt.Println("  ", v)
 	}
 	if len(result.Violations) > 0 {
 		fmt.Println("   logs and records in", dir)
--- a/cmd/lycheehall-standin/main.go
+++ b/cmd/lycheehall-standin/main.go
@@ -26,24 +26,24 @@
 // that was not renewed for three intervals.
 const registerInterval = 500 * time.Millisecond
 
-// drainTime is how long a target still serves requests after it has announced that it is leaving.
+// drainTime is how long a target still serves requests after it has reported that it is leaving.
 const drainTime = 5 * time.Second
 
 // options holds the values of all flags.
 type options struct {
-	listen     string
-	platform   string
-	id         string
-	service    string
-	dataCentre string
-	unkeyed    bool
-	workTime   time.Duration
-	advertise  string
-	recordFile string
-	defect     string
-	coldTime   time.Duration
-	coldRate   float64
-	disturbed  bool
+	listen        string
+	platform      string
+	id            string
+	service       string
+	dataCentre    string
+	unkeyed       bool
+	workTime      time.Duration
+	advertise     string
+	recordFile    string
+	injectedFault string
+	coldTime      time.Duration
+	coldRate      float64
+	disturbed     bool
 }
 
 func main() {
@@ -55,9 +55,9 @@
 	runPlatform := flaggy.NewSubcommand("platform")
 	runPlatform.Description = "Run the store, with the registry of targets."
 	runTarget := flaggy.NewSubcommand("target")
-	runTarget.Description = "Run a target, which owns keys unless it is unkeyed."
+	runTarget.Description = "Run a target, which owns keys unless --unkeyed is set."
 	runTarget.String(&o.platform, "", "platform", "Address of the platform.")
-	runTarget.String(&o.id, "", "id", "Id of the target.")
+	runTarget.String(&o.id, "", "id", "ID of the target.")
 	runTarget.String(&o.service, "", "service", "Service that the target belongs to.")
 	runTarget.String(&o.dataCentre, "", "data-centre", "Data centre of the target.")
 	runTarget.Bool(&o.unkeyed, "", "unkeyed", "The service is not keyed.")
@@ -65,9 +65,9 @@
 	runTarget.String(&o.advertise, "", "advertise", "Address to register; default: the address listened on.")
 	runTarget.String(&o.recordFile, "", "record", "File to append a line to for each request that is run.")
 	runTarget.Duration(&o.coldTime, "", "cold", "How long the target is cold after it has started.")
-	runTarget.Float64(&o.coldRate, "", "cold-rate", "Requests a second that the target takes while it is cold; it exits when it gets clearly more; 0: no limit.")
+	runTarget.Float64(&o.coldRate, "", "cold-rate", "Requests a second that the target accepts while it is cold; it exits if it gets more than 1.5 times that plus 8 within a second; 0 means no limit.")
 	runTarget.Bool(&o.disturbed, "", "disturbed", "Slow the target down at times, as other load on its machine would.")
-	runTarget.String(&o.defect, "", "plant", "Deliberate defect of the target: twice, denied, foreign or fence.")
+	runTarget.String(&o.injectedFault, "", "plant", "Injected fault of the target: twice, denied, foreign or fence.")
 	flaggy.AttachSubcommand(runPlatform, 1)
 	flaggy.AttachSubcommand(runTarget, 1)
 	flaggy.Parse()
@@ -106,11 +106,12 @@
 	if err != nil {
 		return err
 	}
-	// A restarted target has the same id as before but owns no keys. Born tells the two processes apart.
+	// A restarted target has the same ID as before but owns no keys. StartedAt distinguishes the two
+	// processes.
 	target := standin.NewTarget(o.id, o.service, !o.unkeyed)
 	target.StartedAt = time.Now().UnixMilli()
 	target.Work = o.workTime
-	target.Inject = standin.InjectedFault(o.defect)
+	target.Inject = standin.InjectedFault(o.injectedFault)
 	target.DataCentre, target.Disturbed = o.dataCentre, o.disturbed
 	target.ColdUntil, target.ColdRate = time.Now().Add(o.coldTime), o.coldRate
 	target.Crash = func() { os.Exit(1) }
--- a/cmd/lycheehall/client.go
+++ b/cmd/lycheehall/client.go
@@ -27,13 +27,13 @@
 	return &client{base: "http://" + o.admin, token: o.token, http: &http.Client{Timeout: requestTimeout}}
 }
 
-func (c *client) get(path string, reply any) error { return c.do(http.MethodGet, path, nil, reply) }
+func (c *client) get(path string, result any) error { return c.do(http.MethodGet, path, nil, result) }
 
-// do sends a request, with body encoded as JSON unless it is nil, and decodes the response into
-// reply. A response with another status than 200 is returned as an error with its exit code. When
-// no response arrives for anything but a GET, the exit code is exitUncertain, unless the connection
-// was refused: the change may have been made.
-func (c *client) do(method, path string, body, reply any) error {
+// do sends a request, with body encoded as JSON unless it is nil, and decodes the response into result.
+// A response with another status than 200 is returned as an error with its exit code. When no
+// response arrives for anything but a GET, the exit code is exitUncertain, unless the connection was
+// refused: the change may have been made.
+func (c *client) do(method, path string, body, result any) error {
 	var in io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -53,13 +53,13 @@
 		if method != http.MethodGet && !errors.Is(err, syscall.ECONNREFUSED) {
 			code = exitUncertain
 		}
-		return exitErrorf(code, "lycheehall: no answer from %s: %w", c.base, err)
+		return exitErrorf(code, "lycheehall: no response from %s: %w", c.base, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return responseError(resp)
 	}
-	if err := json.NewDecoder(resp.Body).Decode(reply); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(result); err != nil {
 		return fmt.Errorf("lycheehall: the response cannot be decoded: %w", err)
 	}
 	return nil
@@ -78,12 +78,12 @@
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil || r.Code == "" {
 		return exitErrorf(exitFailed, "lycheehall: unexpected response: %s", resp.Status)
 	}
-	code, known := exitCodes[r.Code]
-	if !known {
+	code, listed := exitCodes[r.Code]
+	if !listed {
 		code = exitFailed
 	}
 	if r.Code == "conflict" {
-		return exitErrorf(code, "%s\nthe newest version is %d; see what changed with show, and apply with --base %d", r.Error, r.Version, r.Version)
+		return exitErrorf(code, "%s\nversion %d is in force; run show to see it, then apply with --base %d", r.Error, r.Version, r.Version)
 	}
 	return exitErrorf(code, "%s", r.Error)
 }
--- a/cmd/lycheehall/main.go
+++ b/cmd/lycheehall/main.go
@@ -16,19 +16,20 @@
 // Exit codes; docs/OPERATIONS.md describes them.
 const (
 	exitOK = 0
-	// exitFailed: the instance could not be reached, or it refused for a reason not listed below.
+	// exitFailed: the instance could not be reached, or it refused for a reason that is not listed
+	// below.
 	exitFailed = 1
 	// exitInvalid: the input is invalid; nothing was changed.
 	exitInvalid = 2
 	// exitConflict: another change was made after the base version; nothing was changed.
 	exitConflict = 3
-	// exitUncertain: the change may have been accepted; it can be retried with the same change id.
+	// exitUncertain: the change may have been made; it can be retried with the same change ID.
 	exitUncertain = 4
-	// exitNotEverywhere: accepted, but not in force at every instance when the wait ended.
-	exitNotEverywhere = 5
+	// exitNotInForceEverywhere: accepted, but not in force at every instance when the wait ended.
+	exitNotInForceEverywhere = 5
 )
 
-// exitError is an error with the exit code of the process.
+// exitError is an error with the exit code that the process returns for it.
 type exitError struct {
 	code int
 	err  error
@@ -111,7 +112,7 @@
 	flaggy.SetName("lycheehall")
 	flaggy.SetDescription("Operates a deployment of lycheehall.")
 	flaggy.SetVersion(version)
-	flaggy.String(&o.admin, "a", "admin", "Address of an instance's operator listener.")
+	flaggy.String(&o.admin, "a", "admin", "Address of an instance's operator API.")
 	flaggy.String(&o.token, "", "token", "Operator token; default: $LYCHEEHALL_TOKEN.")
 	flaggy.Bool(&o.json, "", "json", "Print JSON.")
 	var list []command
@@ -143,8 +144,8 @@
 	release := add("release", "Release a request from quarantine.", runRelease)
 	release.AddPositionalValue(&o.fingerprint, "fingerprint", 1, true, "Fingerprint of the request.")
 	add("timeline", "Print the events of all instances in causal order.", runTimeline)
-	trace := add("trace", "Show how a request was decided, and what its instance learned shortly before.", runTrace)
-	trace.AddPositionalValue(&o.request, "request", 1, true, "Id of the request.")
+	trace := add("trace", "Show how a request was handled, and the events of its instance shortly before.", runTrace)
+	trace.AddPositionalValue(&o.request, "request", 1, true, "ID of the request.")
 	trace.StringSlice(&o.logs, "l", "log", "Log file to search instead of the running instances; may be repeated.")
 	flaggy.Parse()
 	return list
@@ -153,7 +154,7 @@
 // addChangeFlags declares the flags of a command that changes the rules.
 func addChangeFlags(sub *flaggy.Subcommand, o *options) {
 	sub.UInt64(&o.base, "b", "base", "Version that the change is based on; default: the one in force.")
-	sub.String(&o.changeID, "", "change-id", "Id of the change; to retry after a lost response, give the same one.")
+	sub.String(&o.changeID, "", "change-id", "ID of the change; to retry after a lost response, give the same one.")
 	sub.String(&o.author, "", "author", "Author of the change.")
 	sub.Duration(&o.wait, "w", "wait", "How long to wait until the change is in force at every instance.")
 }
--- a/cmd/lycheehall/rules.go
+++ b/cmd/lycheehall/rules.go
@@ -59,7 +59,7 @@
 }
 
 // applyText stores the text as the next version of the rules and waits until it is in force at every
-// instance. Without a base it takes the version in force, and without a change id it makes one.
+// instance. Without a base it uses the version in force, and without a change ID it generates one.
 func applyText(c *client, o *options, text string) error {
 	if o.base == 0 {
 		var current rulestore.Record
@@ -74,9 +74,9 @@
 	req := admin.ApplyRequest{Base: o.base, ChangeID: o.changeID, Author: o.author, Text: text}
 	var res admin.Result
 	if err := c.do("POST", "/v1/rules", req, &res); err != nil {
-		return fmt.Errorf("%w\n(change id %s)", err, o.changeID)
+		return fmt.Errorf("%w\n(change ID %s)", err, o.changeID)
 	}
-	if err := printResult(o, changeResult{res, o.changeID}, "accepted as version %d (change id %s)\n", res.Version, o.changeID); err != nil {
+	if err := printResult(o, changeResult{res, o.changeID}, "accepted as version %d (change ID %s)\n", res.Version, o.changeID); err != nil {
 		return err
 	}
 	return waitUntilInForce(c, o, res.Version)
@@ -104,10 +104,10 @@
 		}
 		if time.Now().After(deadline) {
 			if err != nil {
-				return exitErrorf(exitNotEverywhere, "accepted, but the status cannot be read: %w", err)
+				return exitErrorf(exitNotInForceEverywhere, "accepted, but the status cannot be read: %w", err)
 			}
 			_, behind := rolloutProgress(s, version)
-			return exitErrorf(exitNotEverywhere, "accepted, but not yet in force at: %s", strings.Join(behind, ", "))
+			return exitErrorf(exitNotInForceEverywhere, "accepted, but not yet in force at: %s", strings.Join(behind, ", "))
 		}
 		time.Sleep(pollInterval)
 	}
--- a/cmd/lycheehall/trace.go
+++ b/cmd/lycheehall/trace.go
@@ -25,7 +25,7 @@
 // traceWindow is how long before a request's line the other events of its instance are shown too.
 const traceWindow = 5 * time.Second
 
-// traceLogs prints how a request was decided, from collected log files.
+// traceLogs prints how a request was handled, from collected log files.
 func traceLogs(o *options) error {
 	var all []timeline.Event
 	for _, path := range o.logs {
@@ -37,7 +37,7 @@
 	}
 	found := eventsOfRequest(all, o.request)
 	if len(found) == 0 {
-		return exitErrorf(exitFailed, "no log line names the request %s", o.request)
+		return exitErrorf(exitFailed, "no log line contains the request ID %s", o.request)
 	}
 	if o.json {
 		return printJSON(found)
@@ -92,18 +92,18 @@
 	return e
 }
 
-// eventsOfRequest returns the events that name the request, and those of the instance that decided it
+// eventsOfRequest returns the events with the request's ID, and those of the instance that handled it
 // from up to traceWindow before, by time.
 func eventsOfRequest(all []timeline.Event, request string) []timeline.Event {
-	var decided []timeline.Event
+	var ofRequest []timeline.Event
 	for _, e := range all {
 		if slices.Contains(e.Fields, timeline.Field{Name: "request", Value: request}) {
-			decided = append(decided, e)
+			ofRequest = append(ofRequest, e)
 		}
 	}
 	var out []timeline.Event
 	for _, e := range all {
-		if slices.ContainsFunc(decided, func(d timeline.Event) bool { return isRelated(e, d) }) {
+		if slices.ContainsFunc(ofRequest, func(r timeline.Event) bool { return isRelated(e, r) }) {
 			out = append(out, e)
 		}
 	}
@@ -111,12 +111,12 @@
 	return out
 }
 
-// isRelated reports whether an event is shown with one that names the request: it is that event, or
+// isRelated reports whether an event is shown with an event of the request: it is the same event, or
 // one of another kind from the same instance, up to traceWindow before. Other requests are left out.
-func isRelated(e, decided timeline.Event) bool {
-	if e.Kind == decided.Kind {
-		return slices.Equal(e.Fields, decided.Fields)
+func isRelated(e, ofRequest timeline.Event) bool {
+	if e.Kind == ofRequest.Kind {
+		return slices.Equal(e.Fields, ofRequest.Fields)
 	}
-	before := decided.Time.Sub(e.Time)
-	return e.Instance == decided.Instance && e.Kind != "request" && before >= 0 && before <= traceWindow
+	before := ofRequest.Time.Sub(e.Time)
+	return e.Instance == ofRequest.Instance && e.Kind != "request" && before >= 0 && before <= traceWindow
 }
--- a/cmd/lycheehalld/standalone.go
+++ b/cmd/lycheehalld/standalone.go
@@ -27,9 +27,9 @@
 	{"counter", false, 2},
 }
 
-// standaloneSecret is the operator token. A fixed one is enough, since the listeners are on the
+// standaloneToken is the operator token. A fixed one is enough, since the listeners are on the
 // loopback interface only.
-const standaloneSecret = "standalone-secret"
+const standaloneToken = "standalone-secret"
 
 // serveStandalone runs an instance, a store and sample targets in one process.
 func serveStandalone(rulesFile string) int {
@@ -58,7 +58,7 @@
 func standaloneSettings() (settings.Settings, error) {
 	s := settings.Default()
 	s.Name = "standalone"
-	s.OperatorToken = standaloneSecret
+	s.OperatorToken = standaloneToken
 	store := standin.NewStore()
 	for _, sample := range sampleTargets {
 		for n := range sample.count {
@@ -77,7 +77,7 @@
 	return s, err
 }
 
-// serveOnLoopback serves on a free port of the loopback interface until the process ends, and returns
+// serveOnLoopback serves on a free port of the loopback interface until the process exits, and returns
 // the address.
 func serveOnLoopback(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
