--- a/cmd/lycheehall/client.go
+++ b/cmd/lycheehall/client.go
@@ -20,7 +20,7 @@
 	http  *http.Client
 }
 
-// requestTimeout bounds one request, including the store write that a change waits for.
+// requestTimeout limits one request, including the store write that a change waits for.
 const requestTimeout = 10 * time.Second
 
 func newClient(o *options) *client {
--- a/instance/broker_test.go
+++ b/instance/broker_test.go
@@ -38,7 +38,7 @@
 	}
 
 	// Guards against a request to a target that reported 2.9 s earlier that it is leaving. The instance
-	// with the request lacks CPU time and has an old registry; the keeper knows better and must not
+	// with the request lacks CPU time and has an old registry; the keeper has a newer one and must not
 	// grant a permit.
 	It("grants no permit for a target that has been draining for longer than DrainGrace", func() {
 		ask := permit.Ask{ID: "1", Service: "keyed", Target: "k1", Rule: "r", AimLeft: time.Second, Left: time.Second}
