--- a/instance/instance.go
+++ b/instance/instance.go
@@ -189,7 +189,7 @@
 	log *eventlog.Log
 }
 
-// Sync implements lead.Peers.
+// Sync implements lead.PeerClient.
 func (p *lamportPeers) Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error) {
 	args.Lamport = p.log.Lamport()
 	reply, err := p.Client.Sync(ctx, address, args)
