--- a/cmd/lycheehall/evacuate.go
+++ b/cmd/lycheehall/evacuate.go
@@ -9,7 +9,7 @@
 		return err
 	}
 	if o.endEvacuation {
-		return printResult(o, result, "the evacuation of %s has ended; its targets get requests again as they warm up\n", o.dataCentre)
+		return printResult(o, result, "%s is taken back; its targets get requests as they warm up\n", o.dataCentre)
 	}
-	return printResult(o, result, "%s is being evacuated: its targets get no new requests, and after a few seconds none at all\n", o.dataCentre)
+	return printResult(o, result, "nothing new is sent to %s, and nothing at all in a few seconds\n", o.dataCentre)
 }
--- a/cmd/lycheehall/operate.go
+++ b/cmd/lycheehall/operate.go
@@ -44,19 +44,19 @@
 	if o.json {
 		return printJSON(s)
 	}
-	fmt.Printf("as seen by %s: leader %s, term %d, rules %d, data is %d ms old\n", s.Instance, s.Leader, s.Term, s.RulesVersion, s.DataAgeMs)
+	fmt.Printf("as seen by %s: leader %s, term %d, rules %d, known %d ms ago\n", s.Instance, s.Leader, s.Term, s.RulesVersion, s.DataAgeMs)
 	for _, dataCentre := range s.Evacuated {
-		fmt.Printf("evacuated, its targets get no requests: %s\n", dataCentre)
+		fmt.Printf("evacuated, its targets get nothing: %s\n", dataCentre)
 	}
 	for _, mistake := range s.RuleMistakes {
-		fmt.Printf("mistake in the rules, some requests may be refused: %s\n", mistake)
+		fmt.Printf("not understood, its callers are refused: %s\n", mistake)
 	}
 	for _, i := range s.Instances {
 		if i.Missing {
-			fmt.Printf("instance %-32s no reply\n", i.ID)
+			fmt.Printf("instance %-32s no answer\n", i.ID)
 			continue
 		}
-		fmt.Printf("instance %-32s %-12s rules %d, data is %d ms old\n", i.ID, i.DataCentre, i.RulesVersion, i.DataAgeMs)
+		fmt.Printf("instance %-32s %-12s rules %d, known %d ms ago\n", i.ID, i.DataCentre, i.RulesVersion, i.DataAgeMs)
 	}
 	for _, service := range s.Services {
 		printService(service)
@@ -74,7 +74,7 @@
 	if len(s.Ranges) == 0 {
 		fmt.Printf("service %s: not keyed\n", s.Name)
 	} else {
-		fmt.Printf("service %s: map %d, %d ranges, %d being reassigned\n", s.Name, s.MapVersion, len(s.Ranges), moving)
+		fmt.Printf("service %s: map %d, %d ranges, %d moving\n", s.Name, s.MapVersion, len(s.Ranges), moving)
 	}
 	for _, t := range s.Targets {
 		text := ""
@@ -112,7 +112,7 @@
 		}
 	}
 	if e.KeyNumber >= 0 {
-		fmt.Printf(", key number %d, fence %d", e.KeyNumber, e.Fence)
+		fmt.Printf(", number %d, fence %d", e.KeyNumber, e.Fence)
 	}
 	if e.Detail != "" {
 		fmt.Printf(": %s", e.Detail)
@@ -140,7 +140,7 @@
 	}
 	printLines(response.Events)
 	for _, id := range response.Missing {
-		fmt.Println("no reply from", id)
+		fmt.Println("no answer from", id)
 	}
 	return nil
 }
--- a/cmd/lycheehall/quarantine.go
+++ b/cmd/lycheehall/quarantine.go
@@ -16,7 +16,7 @@
 		return printJSON(list)
 	}
 	for _, q := range list {
-		fmt.Printf("%-16s %d targets crashed, %d callers, last at %s, until %s\n",
+		fmt.Printf("%-16s %d targets ended, %d callers, last at %s, until %s\n",
 			q.Fingerprint, q.Targets, q.Callers, q.LastCrash.Format(time.RFC3339), q.Until.Format(time.RFC3339))
 	}
 	return nil
@@ -27,5 +27,5 @@
 	if err := c.do("POST", "/v1/quarantine/release", admin.ReleaseRequest{Fingerprint: o.fingerprint}, &result); err != nil {
 		return err
 	}
-	return printResult(o, result, "released %s; every instance applies it within a second\n", o.fingerprint)
+	return printResult(o, result, "released %s; all instances know within a second\n", o.fingerprint)
 }
--- a/cmd/lycheehall/rules.go
+++ b/cmd/lycheehall/rules.go
@@ -74,9 +74,9 @@
 	req := admin.ApplyRequest{Base: o.base, ChangeID: o.changeID, Author: o.author, Text: text}
 	var res admin.Result
 	if err := c.do("POST", "/v1/rules", req, &res); err != nil {
-		return fmt.Errorf("%w\n(change ID %s)", err, o.changeID)
+		return fmt.Errorf("%w\n(change id %s)", err, o.changeID)
 	}
-	if err := printResult(o, changeResult{res, o.changeID}, "accepted as version %d (change ID %s)\n", res.Version, o.changeID); err != nil {
+	if err := printResult(o, changeResult{res, o.changeID}, "accepted as version %d (change id %s)\n", res.Version, o.changeID); err != nil {
 		return err
 	}
 	return waitUntilInForce(c, o, res.Version)
@@ -107,7 +107,7 @@
 				return exitErrorf(exitNotInForceEverywhere, "accepted, but the status cannot be read: %w", err)
 			}
 			_, behind := rolloutProgress(s, version)
-			return exitErrorf(exitNotInForceEverywhere, "accepted, but not yet in force at: %s", strings.Join(behind, ", "))
+			return exitErrorf(exitNotInForceEverywhere, "not yet in force at: %s", strings.Join(behind, ", "))
 		}
 		time.Sleep(pollInterval)
 	}
--- a/instance/adminbackend.go
+++ b/instance/adminbackend.go
@@ -214,19 +214,19 @@
 	e.Key = d.Key
 	number, ok := d.KeyNumber()
 	if !ok {
-		e.Outcome, e.Detail = "refused", "the request has no key, more than one, or an invalid key number"
+		e.Outcome, e.Detail = "refused", "the request must have exactly one key"
 		return
 	}
 	e.KeyNumber = int(number)
 	m := s.Maps[e.Service]
 	if m == nil {
-		e.Outcome, e.Detail = "refused", "no target owns the key yet"
+		e.Outcome, e.Detail = "refused", "nobody owns the key yet"
 		return
 	}
 	r := m.Find(number)
 	e.Target, e.Fence = r.Owner, r.Fence
 	if !r.Served() {
-		e.Outcome, e.Detail = "waiting", "the key is being reassigned to "+r.Next
+		e.Outcome, e.Detail = "waiting", "the key moves to "+r.Next
 	}
 }
 
--- a/transport/admin/admin.go
+++ b/transport/admin/admin.go
@@ -337,7 +337,7 @@
 		return
 	}
 	if !h.backend.Release(f) {
-		writeJSON(w, http.StatusNotFound, Result{Code: "invalid", Error: "this instance knows of no quarantined request with this fingerprint"})
+		writeJSON(w, http.StatusNotFound, Result{Code: "invalid", Error: "no such request is quarantined as far as this instance knows"})
 		return
 	}
 	writeJSON(w, http.StatusOK, Result{Code: "accepted"})
