--- a/coordination/assign/manager.go
+++ b/coordination/assign/manager.go
@@ -190,7 +190,8 @@
 }
 
 // SetLoad sets the load by key, and the speeds of targets by target ID. A speed is 1/slowness,
-// where the slowness is how many times as long as at an average target work takes.
+// where the slowness is the time that work takes there, divided by the time that it takes at an
+// average target.
 func (m *Manager) SetLoad(load *keyrange.Load, speeds map[string]float64) {
 	m.load = load
 	for id, speed := range speeds {
--- a/coordination/assign/types.go
+++ b/coordination/assign/types.go
@@ -87,9 +87,10 @@
 	// Handover is an opaque reference from the former owner's response to the release. It is passed
 	// on to the next owner with the grant; empty in other orders.
 	Handover string
-	// SentAt is when the order was sent. The manager sets it to the time at which the order was
-	// due. The sender sets it to the time of sending if the target has carried out the order: the
-	// connection was open then.
+	// SentAt is when the order was sent. The manager sets it first, to the time at which it created
+	// the order. If the target has carried out the order, the leader then replaces it by the time of
+	// sending, before it passes the order and its outcome to RecordOutcome: the connection was open
+	// at that time.
 	SentAt clock.Instant
 	// If ConnectionOpenSince is not clock.Never, the order may be sent only over a connection that
 	// was already open at this time. Such a connection leads to the process that owned the keys
--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -2,9 +2,10 @@
 // instance collects measurements, and the leader aggregates the reports of all instances.
 //
 // The work of a request is the time that an average target takes for it, estimated as the mean of
-// its rule. The slowness of a target is how many times as long as an average target it takes; its
-// speed is 1/slowness. A target may report its slowness, as how many times as long as usual its
-// work takes now. A reported value is used as if the target's usual speed were average.
+// its rule. The slowness of a target is the time that a request takes there, divided by the time
+// that it takes at an average target; its speed is 1/slowness. A target may report its slowness, as
+// how many times as long as usual its work takes now. A reported value is used as if the target's
+// usual speed were average.
 //
 // Lock order: no other lock is taken while the lock of a Collector or an Aggregator is held.
 package demand
@@ -281,7 +282,8 @@
 }
 
 // Load returns the averaged load of a service's keys as of now, in seconds of work a second, and
-// the speeds of all targets, where 1 is average. The load is valid until the next call of Load.
+// the speeds of the targets for which there are reports, where 1 is average. The load is valid
+// until the next call of Load.
 func (a *Aggregator) Load(service string, now clock.Instant) (*keyrange.Load, map[string]float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/coordination/keyrange/map.go
+++ b/coordination/keyrange/map.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// MergeAdjoining merges adjoining ranges that are served by the same owner, for owners for which
-// the function may returns true. The merged range gets the fence of this change: the owner gets a
-// grant for the whole range, which replaces the grants for the parts.
+// MergeAdjoining gives adjoining ranges that are served by the same owner the same fence, that of
+// this change, so that Map merges them. It does so for owners for which the function may returns
+// true. The owner then gets a grant for the whole range, which replaces the grants for the parts.
 func (e *Editor) MergeAdjoining(may func(owner string) bool) {
 	for i := 1; i < len(e.ranges); i++ {
 		a, b := &e.ranges[i-1], &e.ranges[i]
--- a/coordination/keyrange/plan.go
+++ b/coordination/keyrange/plan.go
@@ -13,8 +13,8 @@
 
 // Capacity is the capacity of a target that may own keys. AverageSlots is the number of slots of an
 // average target that do the same work as the target: its own slots times its speed, unless a limit
-// of requests a second makes it less. The speed is 1/slowness; the slowness is how many times as
-// long as at an average target work takes.
+// of requests a second makes it less. The speed is 1/slowness; the slowness is the time that
+// work takes there, divided by the time that it takes at an average target.
 type Capacity struct {
 	Target       string
 	AverageSlots float64
@@ -143,8 +143,8 @@
 )
 
 // nextHotKeyMove finds a single key that is too much for its owner, and moves it to the target with
-// the largest capacity: a key can't be split. Of 100 requests a second of 0.22 s for one key, an
-// average target with six slots answered 22, the fastest one 47.
+// the largest capacity among those without such a key. A key can't be split, so its throughput is
+// limited by its owner's capacity.
 func (p *planner) nextHotKeyMove() (Move, bool) {
 	for _, a := range p.targets {
 		if a.hottestWork < hotKeyShare*a.AverageSlots {
@@ -296,8 +296,9 @@
 }
 
 // Utilisation returns the load of each target divided by its capacity, by target ID. Moving ranges
-// count for their next owner. A load of baselineWork, spread over all keys, is added to the
-// measured one, and the work of a single key counts up to the capacity of its owner.
+// count for their next owner. A load that keeps half a slot of an average target busy
+// (baselineWork), spread evenly over all keys, is added to the measured one. The work of a single
+// key counts up to the capacity of its owner.
 func Utilisation(m *Map, load *Load, targets []Capacity) map[string]float64 {
 	p := newPlanner(m, load, targets, Policy{})
 	out := make(map[string]float64, len(targets))
--- a/coordination/lead/commit.go
+++ b/coordination/lead/commit.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// commitIntervalPerTarget is the minimum time between changes of the map, for each target, so
-	// that moves that finish in quick succession are stored together.
+	// commitIntervalPerTarget times the number of targets is the minimum time between changes of
+	// the maps, so that moves that finish in quick succession are stored together.
 	commitIntervalPerTarget = 100 * time.Microsecond
 	// commitRetryAfter is the pause after a change could not be stored.
 	commitRetryAfter = 60 * time.Millisecond
--- a/coordination/lead/coordinator.go
+++ b/coordination/lead/coordinator.go
@@ -24,6 +24,9 @@
 
 // PeerClient calls other instances.
 type PeerClient interface {
+	// Sync sends a report to the instance at the address, which is the host and port at which other
+	// instances connect to it, and returns its reply. That instance may delay the reply by up to
+	// args.Wait while it has no update.
 	Sync(ctx context.Context, address string, args *peerapi.SyncArgs) (*peerapi.SyncReply, error)
 }
 
@@ -79,8 +82,9 @@
 	aggregator *demand.Aggregator
 	log        Log
 	reader     *reader
-	// targetStatus holds the targets that have reported in a response that they are leaving; the
-	// leader moves their keys away.
+	// targetStatus holds all statuses that targets have reported in responses to this instance, and
+	// the targets that other instances have reported as leaving. The leader moves the keys of
+	// leaving targets away.
 	targetStatus *targetstatus.Tracker
 	// quarantine is synchronized between instances along with the reports.
 	quarantine *quarantine.Tracker
--- a/coordination/lead/start.go
+++ b/coordination/lead/start.go
@@ -64,7 +64,7 @@
 
 // fetchFullState asks another instance for its full state, however old, and adopts it. wait is how
 // long that instance may delay its reply until it has a state. If it has none, the error is
-// errKnowsNothing.
+// errNoState.
 func (c *Coordinator) fetchFullState(ctx context.Context, address string, wait time.Duration) error {
 	args := c.newSyncArgs()
 	args.Starting = true
--- a/coordination/lead/sync.go
+++ b/coordination/lead/sync.go
@@ -12,7 +12,13 @@
 // here, so that updates in quick succession are sent together.
 const batchDelayPerReport = 300 * time.Microsecond
 
-// Sync replies to a report of another instance as soon as there is an update for it.
+// Sync replies to a report of another instance. A leader replies as soon as there is an update for
+// the sender, and without an update when the report's wait, the leader's term or ctx is over.
+//
+// An instance that does not lead replies as a relay, with what it knows and Current set. If it may
+// not, for example because its own information is not recent, the reply has neither Leading nor
+// Current set; see isCurrentFor and hearsFromLeader. A sender that is starting gets the snapshot
+// even if it is old.
 func (c *Coordinator) Sync(ctx context.Context, args *peerapi.SyncArgs) *peerapi.SyncReply {
 	c.quarantine.Merge(args.Quarantine)
 	c.targetStatus.RecordReported(args.LeavingTargets)
--- a/coordination/lead/timing.go
+++ b/coordination/lead/timing.go
@@ -19,16 +19,20 @@
 	// can reply to the others before they have to read. A relay that reports to the leader directly
 	// has a snapshot at most 0.75 s old: the wait of a feed and the delay of a reply to a relay.
 	relayStaleAfter = 950 * time.Millisecond
-	// pollInterval is the time between such reads, and between a leader's reads of the registry.
+	// pollInterval is the time between a leader's reads of the registry. In a small fleet it is
+	// also the time between those of a follower that reads the registry because its snapshot is
+	// stale.
 	pollInterval = 400 * time.Millisecond
 	// leaseReadInterval is the time between a follower's reads of the lease row while the leader
 	// does not reply.
 	leaseReadInterval = 250 * time.Millisecond
-	// smallFleet is the number of instances up to which each reads the lease that often. In a
-	// larger fleet each reads it less often: the first one that finds it free takes it, and each
-	// call to the store costs money.
+	// smallFleet is the number of instances up to which each reads the lease row every
+	// leaseReadInterval while the leader does not reply. In a larger fleet each reads it less
+	// often: the first one that finds the lease free takes it, and each call to the store costs
+	// money.
 	smallFleet = 12
-	// maxPollInterval limits the time between reads of an instance that gets no replies.
+	// maxPollInterval limits the time between reads of the registry by an instance that gets no
+	// replies.
 	maxPollInterval = 800 * time.Millisecond
 	// maxLeaseReadInterval limits the time between reads of the lease while the store does not
 	// answer this instance. It is no longer than it takes after an outage until the registry lists
--- a/coordination/lead/tree.go
+++ b/coordination/lead/tree.go
@@ -52,8 +52,9 @@
 	forwardedAt clock.Instant
 }
 
-// treeRelays returns the addresses of the relays of a data centre in ranking order; none in a small
-// fleet. All instances with the same list of instances get the same result.
+// treeRelays returns the addresses of the relays of a data centre in ranking order; none if there
+// are at most treeWidth instances. All instances with the same list of instances get the same
+// result.
 func treeRelays(list []view.Instance, dataCentre string) []string {
 	if len(list) <= treeWidth {
 		return nil
@@ -153,7 +154,9 @@
 	d.shuttingDown = args.Leaving
 }
 
-// downstreamMembers returns the instances that have reported through this one, for its own report.
+// downstreamMembers returns, for this instance's own report, the instances that have reported
+// through it since it last listed them, and marks them as forwarded. It skips those that it
+// forwarded less than memberReportInterval ago, unless they are shutting down.
 func (c *Coordinator) downstreamMembers() []peerapi.RelayedInstance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordination/lead/vacate.go
+++ b/coordination/lead/vacate.go
@@ -25,7 +25,8 @@
 
 const (
 	// renewalOverdueAfter is how long a renewal of the lease must be overdue before the leader asks
-	// whether the store answers others. A healthy store answers within 20 ms.
+	// whether the store answers others. A healthy store answers within 20 ms. It is also how long a
+	// relay reports, after a probe of the store for the leader, that the store answered.
 	renewalOverdueAfter = 300 * time.Millisecond
 	// maxPromptResponse is the time within which the store must answer a relay for the response to
 	// count. A store that is slow for all instances takes longer, and the leader goes on.
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -84,8 +84,9 @@
 // GivenUp records that the lease is given up.
 func (l *OwnLease) GivenUp() { l.held = false }
 
-// Until returns the time by which this instance must stop acting under the lease; clock.Never if it
-// does not hold it.
+// Until returns the time by which this instance must stop acting under the lease. If it does not
+// hold the lease, Until returns clock.Never, which is before every other instant: an instance
+// without the lease may not act at any time.
 func (l *OwnLease) Until() clock.Instant {
 	if !l.held {
 		return clock.Never
--- a/coordination/permit/capacity.go
+++ b/coordination/permit/capacity.go
@@ -38,8 +38,8 @@
 	return max(c.untilNextSend, workDuration(running, c.equivalentSlots)) + workDuration(waiting, c.rateLimitedSlots)
 }
 
-// meanSlowness returns how many times as long as at an average target requests take in the pool
-// now.
+// meanSlowness returns the time that requests take in the pool now, divided by the time that they
+// take at an average target.
 func (p *pool) meanSlowness(now clock.Instant) float64 {
 	slots, equivalent := 0.0, 0.0
 	for _, t := range p.current {
--- a/coordination/permit/doc.go
+++ b/coordination/permit/doc.go
@@ -24,10 +24,10 @@
 // cold and limited targets without the keeper's permit. Requests during which a target has crashed
 // are let through one at a time.
 //
-// The slowness of a target is how many times as long as at an average target of the pool work takes
-// there; its speed is 1/slowness. A target may report its slowness, as how many times as long as
-// usual its work takes now. The keeper uses a reported value as if the target's usual speed were
-// average.
+// The slowness of a target is the time that work takes there, divided by the time that it takes at
+// an average target of the pool; its speed is 1/slowness. A target may report its slowness, as how
+// many times as long as usual its work takes now. The keeper uses a reported value as if the
+// target's usual speed were average.
 //
 // A small number of interchangeable targets forms one pool. A larger number is divided into groups
 // with a keeper each, see Groups and Chooser.
--- a/coordination/permit/keeper.go
+++ b/coordination/permit/keeper.go
@@ -22,7 +22,7 @@
 	// targets returns the current targets of a pool.
 	targets func(id PoolID) []Target
 
-	// wake makes Run start the periodic checks, because slots are in use again.
+	// wake makes Run start the periodic checks, because a slot is in use or an ask is queued again.
 	wake chan struct{}
 
 	mu    sync.Mutex
@@ -55,8 +55,8 @@
 	return &Keeper{clock: c, targets: targets, wake: make(chan struct{}, 1), pools: map[PoolID]*keptPool{}}
 }
 
-// Run checks the queues periodically until ctx ends. It sleeps while no slot is in use: otherwise
-// the checks would be most of the work of an idle instance.
+// Run checks the queues periodically until ctx ends. It sleeps while no slot is in use and no ask
+// is queued: otherwise the checks would be most of the work of an idle instance.
 func (k *Keeper) Run(ctx context.Context) {
 	ticker := time.NewTicker(serveInterval)
 	defer ticker.Stop()
@@ -86,7 +86,7 @@
 	}
 }
 
-// tick checks the queues and reports whether slots are still in use.
+// tick checks the queues and reports whether a slot is still in use or an ask is still queued.
 func (k *Keeper) tick() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/coordination/permit/slowness.go
+++ b/coordination/permit/slowness.go
@@ -6,12 +6,13 @@
 	"lycheehall.example/lycheehall/clock"
 )
 
-// The slowness of a target is how many times as long as at an average target work takes there. The
-// target reports it, or otherwise it is measured by how long its requests take. A reported value
-// compares with the target's usual time, and is used as if the target were usually average. It
-// describes a single moment: targets share machines with other processes, which disturb them for
-// some tenths of a second at a time. So the last reported value counts for as long as such a
-// disturbance lasts, and the running mean counts from then on.
+// The slowness of a target is the time that work takes there, divided by the time that it takes at
+// an average target. The target reports it, or otherwise it is measured by how long its requests
+// take. A reported value compares with the target's usual time, and is used as if the target were
+// usually average. It describes a single moment: targets share machines with other processes, which
+// disturb them for some tenths of a second at a time. So the weight of the last reported value
+// decreases to zero in the time that such a disturbance lasts, and the running mean has the rest of
+// the weight.
 
 const (
 	// slownessHalfLife is the time without use after which half of a target's difference from
--- a/coordination/permit/types.go
+++ b/coordination/permit/types.go
@@ -79,7 +79,9 @@
 	// ID is the ID of the permit, Target its target.
 	ID     string
 	Target string
-	// Rule is the rule of the ask. The keeper does not read it, but uses the Rule of the Ask.
+	// Rule is the rule of the ask. The keeper does not read it: it has recorded the rule with the
+	// permit that it granted. The field is part of the report that is sent to keepers on other
+	// instances.
 	Rule   string
 	Result Result
 	// Took is the time from sending the request to the target's response.
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -10,8 +10,10 @@
 )
 
 const (
-	// CrashLimit is the number of crashed targets at which a request is quarantined. A single one
-	// may have exited for any other reason.
+	// CrashLimit is the number of targets that must have crashed during a request of one caller
+	// before it is quarantined for that caller. A single target may have exited for any other
+	// reason. For a quarantine for all callers, it is the number of targets that must have crashed,
+	// and the number of callers during whose requests they crashed.
 	CrashLimit = 2
 	// quarantineDuration is how long a quarantine lasts after the last crash.
 	quarantineDuration = 24 * time.Hour
@@ -60,7 +62,8 @@
 
 // Entry holds the recorded crashes of a request, and the responses to it.
 type Entry struct {
-	Crashes []Crash    `json:"crashes"`
+	Crashes []Crash `json:"crashes"`
+	// Answers holds the responses to the request.
 	Answers []Response `json:"answers,omitempty"`
 }
 
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -241,7 +241,8 @@
 	tr.leadingTerm = 0
 }
 
-// LoadStored merges the content of the row, which was read from the store.
+// LoadStored merges a table that was read from the store. The text is the content of the row of the
+// store that holds the quarantined requests.
 func (tr *Tracker) LoadStored(text []byte) error {
 	t, err := Decode(text)
 	if err != nil {
@@ -252,7 +253,8 @@
 	return nil
 }
 
-// PendingWrite returns what should be written to the row in the store, or nil if it is up to date.
+// PendingWrite returns what should be written to the row of the store that holds the quarantined
+// requests, or nil if the row is up to date.
 func (tr *Tracker) PendingWrite() ([]byte, error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -270,7 +272,8 @@
 	return text, nil
 }
 
-// MarkStored records that the row in the store now has this content.
+// MarkStored records that the row of the store that holds the quarantined requests now has this
+// content.
 func (tr *Tracker) MarkStored(text []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/coordination/view/target.go
+++ b/coordination/view/target.go
@@ -56,9 +56,9 @@
 	return t
 }
 
-// DrainGrace is how long a leaving target still gets requests, counted from when this instance
-// learned that it is leaving. A target must get no requests 2 s after it has reported that it is
-// leaving; the update takes up to 1.5 s while the leader changes.
+// DrainGrace is how long a leaving target still gets the requests for the keys that it owns,
+// counted from when this instance learned that it is leaving. A target must get no requests 2 s
+// after it has reported that it is leaving; the update takes up to 1.5 s while the leader changes.
 const DrainGrace = 400 * time.Millisecond
 
 // DrainExpired reports whether the target has been leaving for so long that it may have exited.
